--- a/src/core/groups/count-deltas.ts
+++ b/src/core/groups/count-deltas.ts
@@ -1,47 +1,51 @@
-/** Turns an engine's totals into what was counted since a coordinator looked last. */
+/**
+ * Converts the cumulative token counts of an engine to increments since a coordinator's last poll.
+ */
 
-import { setNewest } from './newest.js';
+import { setNewest } from './evict-oldest.js';
 
-/** What totals count from: each life of an engine, and each forming of its group, begins anew. */
+/**
+ * Origin of the totals: they restart at 0 with each engine process and each formation of its group.
+ */
 export interface CountOrigin {
   readonly groupEpoch?: number | undefined;
-  /** When the engine's process started, Unix ms. */
+  /** Start time of the engine process, Unix ms. */
   readonly engineStartedAtMs?: number | undefined;
 }
 
-interface Last {
+interface LastReading {
   readonly totals: readonly (readonly number[])[];
   readonly origin: CountOrigin;
 }
 
-function isSame(a: CountOrigin, b: CountOrigin): boolean {
+function isSameOrigin(a: CountOrigin, b: CountOrigin): boolean {
   return a.groupEpoch === b.groupEpoch && a.engineStartedAtMs === b.engineStartedAtMs;
 }
 
-/** Coordinators that are remembered; there is one, and a second while they take turns. */
-const MOST_ASKERS = 4;
+/** Maximum number of coordinators tracked; normally one, and a second one during a handover. */
+const MAX_COORDINATORS = 4;
 
-/** Totals as each coordinator saw them last. */
+/** Keeps the totals that each coordinator received last. */
 export class CountDeltas {
-  private readonly lastByAsker = new Map<string, Last>();
+  private readonly lastByCoordinator = new Map<string, LastReading>();
 
   /**
-   * Tokens by layer and expert since the asker's last call; undefined at the first one, and after the
-   * group was formed anew or the engine started again.
-   * @example deltas.take('10.1.0.4:7000', { groupEpoch: 1 }, [[12, 4]])
+   * Returns the tokens by layer and expert since the previous call for this coordinator; undefined
+   * on the first call, and after the group re-formed or the engine restarted.
+   * @example deltas.takeDelta('10.1.0.4:7000', { groupEpoch: 1 }, [[12, 4]])
    */
-  take(
-    asker: string,
+  takeDelta(
+    coordinator: string,
     origin: CountOrigin,
     totals: readonly (readonly number[])[],
   ): number[][] | undefined {
-    const last = this.lastByAsker.get(asker);
+    const last = this.lastByCoordinator.get(coordinator);
     const { groupEpoch, engineStartedAtMs } = origin;
     const next = { totals, origin: { groupEpoch, engineStartedAtMs } };
-    setNewest(this.lastByAsker, asker, next, MOST_ASKERS);
-    if (!last || !isSame(last.origin, origin)) return undefined;
+    setNewest(this.lastByCoordinator, coordinator, next, MAX_COORDINATORS);
+    if (!last || !isSameOrigin(last.origin, origin)) return undefined;
     return totals.map((layer, l) =>
-      // A total that fell is that of an engine that was started anew.
+      // A total decreases only when the engine restarted without reporting it.
       layer.map((total, expert) => Math.max(0, total - (last.totals[l]?.[expert] ?? 0))),
     );
   }
--- a/src/core/groups/packing.ts
+++ b/src/core/groups/packing.ts
@@ -1,31 +1,32 @@
 /**
- * Packs expert maps and counts for the wire. At 129 ranks, 16 layers and 3 experts a map as JSON numbers is 31 KB and the
- * counts of one look 20 KB a rank, which a coordinator's link of 4.2 Mbit/s does not carry; packed they are 12 and 5.5 KB,
- * and the change of a map 6 KB or less.
+ * Encodes expert maps and counts for the wire. For 129 ranks, 16 layers and 3 experts per rank, a
+ * map as JSON numbers is 31 KB and the counts of one poll are 20 KB per rank, too much for a
+ * coordinator's link of 4.2 Mbit/s. Packed they are 12 KB and 5.5 KB, and a map change is 6 KB or
+ * less.
  */
 import { createHash } from 'node:crypto';
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { MapChange, PackedCounts, PackedMap } from '../../generated/messages.types.js';
 import type { ExpertMap } from './types.js';
 
-/** Largest number of a byte. */
-const BYTE_MAX = 255;
-/** Bytes of a number of a map. */
-const NUMBER_BYTES = 2;
+/** Largest value of a byte. */
+const MAX_BYTE = 255;
+/** Size of one number in a packed map, bytes. */
+const UINT16_BYTES = 2;
 
-function bytesOf(numbers: readonly number[]): Buffer {
-  const bytes = Buffer.alloc(numbers.length * NUMBER_BYTES);
-  numbers.forEach((n, i) => bytes.writeUInt16LE(n, i * NUMBER_BYTES));
+function encodeUint16s(numbers: readonly number[]): Buffer {
+  const bytes = Buffer.alloc(numbers.length * UINT16_BYTES);
+  numbers.forEach((n, i) => bytes.writeUInt16LE(n, i * UINT16_BYTES));
   return bytes;
 }
 
-function numbersOf(bytes: Buffer): number[] {
-  const count = Math.floor(bytes.length / NUMBER_BYTES);
-  return Array.from({ length: count }, (_, i) => bytes.readUInt16LE(i * NUMBER_BYTES));
+function decodeUint16s(bytes: Buffer): number[] {
+  const count = Math.floor(bytes.length / UINT16_BYTES);
+  return Array.from({ length: count }, (_, i) => bytes.readUInt16LE(i * UINT16_BYTES));
 }
 
 /**
- * Packs a map.
+ * Encodes a map as deflated little-endian 16-bit numbers in base64.
  * @example packMap({ id: 'm1', layers: [[[0, 2], [1]]] }).numbers
  */
 export function packMap({ id, layers }: ExpertMap): PackedMap {
@@ -33,52 +34,52 @@
     layer.length,
     ...layer.flatMap((held) => [held.length, ...held]),
   ]);
-  const bytes = bytesOf([layers.length, ...flat]);
+  const bytes = encodeUint16s([layers.length, ...flat]);
   return { id, numbers: deflateRawSync(bytes).toString('base64') };
 }
 
 /**
- * Unpacks a map; undefined when it was cut short or altered on its way.
+ * Decodes a map; undefined when it is truncated or malformed.
  * @example unpackMap(packMap(map)) // equals map
  */
 export function unpackMap({ id, numbers: text }: PackedMap): ExpertMap | undefined {
-  const numbers = inflate(text);
+  const numbers = inflateNumbers(text);
   if (!numbers) return undefined;
   let at = 0;
   const next = (): number => numbers[at++] ?? Number.NaN;
-  const listOf = <T>(read: () => T): T[] | undefined => {
+  const readList = <T>(readItem: () => T): T[] | undefined => {
     const count = next();
-    return count <= numbers.length ? Array.from({ length: count }, read) : undefined;
+    return count <= numbers.length ? Array.from({ length: count }, readItem) : undefined;
   };
-  const layers = listOf(() => listOf(() => listOf(next)));
+  const layers = readList(() => readList(() => readList(next)));
   if (!layers?.every((layer) => layer?.every((held) => held?.every(Number.isInteger))))
     return undefined;
   return at === numbers.length ? { id, layers: layers as number[][][] } : undefined;
 }
 
-/** The numbers of a text; undefined where it is no deflated one. */
-function inflate(text: string): number[] | undefined {
+/** Decodes base64 deflated numbers; undefined when the text cannot be inflated. */
+function inflateNumbers(text: string): number[] | undefined {
   try {
-    return numbersOf(inflateRawSync(Buffer.from(text, 'base64')));
+    return decodeUint16s(inflateRawSync(Buffer.from(text, 'base64')));
   } catch {
     return undefined;
   }
 }
 
-/** Characters of a map's digest: maps of one id never differ but by a fault. */
-const CHECK_CHARACTERS = 16;
+/** Length of a map's checksum; short, since maps of the same id differ only because of a fault. */
+const CHECKSUM_CHARACTERS = 16;
 
-function checkOf(map: ExpertMap): string {
+function checksumOf(map: ExpertMap): string {
   const text = JSON.stringify(map.layers);
-  return createHash('sha256').update(text).digest('base64').slice(0, CHECK_CHARACTERS);
+  return createHash('sha256').update(text).digest('base64').slice(0, CHECKSUM_CHARACTERS);
 }
 
 /**
- * Packs a map as what differs from another one. Whole, a map of 16 layers, 129 ranks and 3 experts takes 12 KB;
- * where a third of it changed, the change takes 6 KB (packing.test).
- * @example packChange(inUse, next).cells
+ * Encodes a map as its differences from a base map. For 16 layers, 129 ranks and 3 experts per
+ * rank, a whole map is 12 KB and the change of a third of it 6 KB (packing.test).
+ * @example packMapChange(inUse, next).cells
  */
-export function packChange(base: ExpertMap, next: ExpertMap): MapChange {
+export function packMapChange(base: ExpertMap, next: ExpertMap): MapChange {
   const numbers: number[] = [];
   next.layers.forEach((layer, l) =>
     layer.forEach((held, rank) => {
@@ -87,16 +88,16 @@
       if (!isSame) numbers.push(l, rank, held.length, ...held);
     }),
   );
-  const cells = bytesOf(numbers).toString('base64');
-  return { id: next.id, base: base.id, cells, check: checkOf(next) };
+  const cells = encodeUint16s(numbers).toString('base64');
+  return { id: next.id, base: base.id, cells, check: checksumOf(next) };
 }
 
 /**
- * Builds a map from one that is held; undefined when what comes out is not the map that was packed.
- * @example unpackChange(inUse, packChange(inUse, next)) // equals next
+ * Applies a map change to its base map; undefined when the checksum of the result does not match.
+ * @example unpackMapChange(inUse, packMapChange(inUse, next)) // equals next
  */
-export function unpackChange(base: ExpertMap, change: MapChange): ExpertMap | undefined {
-  const numbers = numbersOf(Buffer.from(change.cells, 'base64'));
+export function unpackMapChange(base: ExpertMap, change: MapChange): ExpertMap | undefined {
+  const numbers = decodeUint16s(Buffer.from(change.cells, 'base64'));
   const layers = base.layers.map((layer) => layer.map((held) => [...held]));
   for (let at = 0; at < numbers.length; at += 3 + (numbers[at + 2] ?? 0)) {
     const [layer = 0, rank = 0, count = 0] = numbers.slice(at, at + 3);
@@ -104,22 +105,26 @@
     if (ranks?.[rank]) ranks[rank] = numbers.slice(at + 3, at + 3 + count);
   }
   const map = { id: change.id, layers };
-  return checkOf(map) === change.check ? map : undefined;
+  return checksumOf(map) === change.check ? map : undefined;
 }
 
 /**
- * Packs counts to 255 steps of the largest: what tells experts apart stays, and noise goes.
+ * Quantizes counts to bytes, in steps of 1/255 of the largest count: precise enough to rank
+ * experts.
  * @example packCounts([[510, 0]]) // { unit: 2, layers: ['/wA='] }
  */
 export function packCounts(counts: readonly (readonly number[])[]): PackedCounts {
-  const largest = counts.reduce((most, layer) => Math.max(most, ...layer), 0);
-  const unit = largest / BYTE_MAX;
-  const step = (count: number): number => (unit > 0 ? Math.round(count / unit) : 0);
-  return { unit, layers: counts.map((layer) => Buffer.from(layer.map(step)).toString('base64')) };
+  const largest = counts.reduce((max, layer) => Math.max(max, ...layer), 0);
+  const unit = largest / MAX_BYTE;
+  const quantize = (count: number): number => (unit > 0 ? Math.round(count / unit) : 0);
+  return {
+    unit,
+    layers: counts.map((layer) => Buffer.from(layer.map(quantize)).toString('base64')),
+  };
 }
 
 /**
- * Unpacks counts, by layer and expert.
+ * Decodes counts, indexed by layer and expert.
  * @example unpackCounts({ unit: 2, layers: ['/wA='] }) // [[510, 0]]
  */
 export function unpackCounts(packed: PackedCounts): number[][] {
--- a/src/core/groups/types.ts
+++ b/src/core/groups/types.ts
@@ -1,49 +1,51 @@
-/** Types of the map switch. */
+/** Types of the two-phase map switch. */
 import type { RankOrder, RankReply } from '../../generated/messages.types.js';
 
 export type { RankOrder, RankReply };
 
-/** Which experts each rank of a group holds. */
+/** Assignment of experts to the ranks of a group. */
 export interface ExpertMap {
   readonly id: string;
-  /** Experts by layer and rank. */
+  /** Experts held, indexed by layer and rank. */
   readonly layers: readonly (readonly (readonly number[])[])[];
 }
 
-/** Sends one order to one rank's agent; rejects when it cannot be reached in time. */
+/** Sends one order to the agent of a rank; rejects when the agent does not reply in time. */
 export type CallRank = (rank: number, order: RankOrder) => Promise<RankReply>;
 
-/** A rank that is called, and the incarnation of it that is meant. */
+/** A rank to send an order to, and the incarnation that the order is addressed to. */
 export interface CalledRank {
   readonly rank: number;
   readonly incarnation: string | undefined;
 }
 
-/** Sends one order to some ranks; undefined stands for one that was not reached in time. */
+/**
+ * Sends one order to several ranks; the reply is undefined for a rank that did not reply in time.
+ */
 export type CallRanks = (
   order: RankOrder,
   ranks: readonly CalledRank[],
 ) => Promise<(RankReply | undefined)[]>;
 
-/** How a switch round ended. */
+/** Outcome of a switch round. */
 export type SwitchEnd =
-  /** Every rank is reached and none of them has anything open; the map stays. */
+  /** Every rank replied and no switch is left unfinished; this round brings in no new map. */
   | { readonly kind: 'kept' }
   /** Every rank has confirmed the new map. */
   | { readonly kind: 'switched'; readonly mapId: string; readonly step: number }
-  /** The new map was given up before any rank confirmed it. */
+  /** The new map was aborted before any rank confirmed it. */
   | { readonly kind: 'aborted'; readonly detail: string }
-  /** A rank could not be reached or has promised a higher epoch: a later round goes on. */
+  /** A rank did not reply, refused, or has promised a higher epoch; a later round continues. */
   | { readonly kind: 'blocked'; readonly detail: string; readonly highest: number };
 
-/** What a coordinator knows of the ranks after their promises. */
+/** State of the group as reported in the promises of all ranks. */
 export interface GroupView {
-  /** Epoch of the round. */
+  /** Epoch of this round. */
   readonly epoch: number;
   readonly mapId: string;
   readonly map: ExpertMap | undefined;
   readonly replies: readonly RankReply[];
 }
 
-/** Chooses the next map; undefined keeps the present one. */
+/** Chooses the next map; undefined keeps the current one. */
 export type ChooseMap = (view: GroupView) => ExpertMap | undefined;
--- a/test/core/groups/packing.test.ts
+++ b/test/core/groups/packing.test.ts
@@ -6,30 +6,33 @@
 import {
   CountDeltas,
   packCounts,
-  packChange,
+  packMapChange,
   packMap,
-  unpackChange,
+  unpackMapChange,
   unpackCounts,
   unpackMap,
 } from '../../../src/core/groups/index.js';
 
-const maps = (most: number) =>
+const mapArbitrary = (maxExpert: number) =>
   fc.array(
-    fc.array(fc.array(fc.nat({ max: most }), { maxLength: 8 }), { minLength: 1, maxLength: 12 }),
+    fc.array(fc.array(fc.nat({ max: maxExpert }), { maxLength: 8 }), {
+      minLength: 1,
+      maxLength: 12,
+    }),
     { minLength: 1, maxLength: 4 },
   );
 
-test('a map comes back as it was, also with more experts than a byte can name', () => {
-  for (const most of [250, 60_000])
+test('maps survive packing and unpacking, also with expert numbers above 255', () => {
+  for (const maxExpert of [250, 60_000])
     fc.assert(
-      fc.property(maps(most), (layers) => {
+      fc.property(mapArbitrary(maxExpert), (layers) => {
         const map = { id: 'm', layers };
         assert.deepEqual(unpackMap(packMap(map)), map);
       }),
     );
 });
 
-test('a map that was cut short is none', () => {
+test('truncated, extended or malformed packed maps are rejected', () => {
   const packed = packMap({ id: 'm', layers: [[[1, 2], [3]]] });
   const whole = inflateRawSync(Buffer.from(packed.numbers, 'base64'));
   const pack = (bytes: Buffer): string => deflateRawSync(bytes).toString('base64');
@@ -42,7 +45,7 @@
   assert.equal(unpackMap({ ...packed, numbers: 'nonsense' }), undefined);
 });
 
-test('counts come back to within half a step of the largest', () => {
+test('unpacked counts are within half a quantization step of the original', () => {
   fc.assert(
     fc.property(
       fc.array(fc.array(fc.nat({ max: 1e7 }), { minLength: 1, maxLength: 40 }), { minLength: 1 }),
@@ -59,7 +62,7 @@
   assert.deepEqual(unpackCounts(packCounts([[0, 0]])), [[0, 0]]);
 });
 
-test('the map of 63 ranks and the counts of one fit a link of 5.6 Mbit/s', () => {
+test('a packed map of 63 ranks and the counts of one rank stay small enough for a 5.6 Mbit/s link', () => {
   const layers = Array.from({ length: 8 }, () =>
     Array.from({ length: 63 }, (_, rank) => [0, 1, 2, 3, 4].map((k) => (rank + 63 * k) % 252)),
   );
@@ -68,26 +71,37 @@
   assert.ok(JSON.stringify(packCounts(counts)).length < 2900);
 });
 
-test('each asker is told what was counted since it asked last, also through a restart', () => {
+test('each coordinator gets the counts since its last poll, never negative or stale ones after a restart', () => {
   const deltas = new CountDeltas();
   const origin = { groupEpoch: 1, engineStartedAtMs: 100 };
-  assert.equal(deltas.take('a', origin, [[10, 0]]), undefined);
-  assert.deepEqual(deltas.take('a', origin, [[15, 1]]), [[5, 1]]);
-  assert.equal(deltas.take('b', origin, [[20, 1]]), undefined, 'a second coordinator begins anew');
-  assert.deepEqual(deltas.take('a', origin, [[25, 1]]), [[10, 0]]);
-  assert.deepEqual(deltas.take('a', origin, [[3, 4]]), [[0, 3]], 'an engine that was started anew');
-  const formed = { ...origin, groupEpoch: 2 };
-  assert.equal(deltas.take('a', formed, [[9, 9]]), undefined, 'a group that was formed anew');
-  const reborn = { ...formed, engineStartedAtMs: 200 };
+  assert.equal(deltas.takeDelta('a', origin, [[10, 0]]), undefined);
+  assert.deepEqual(deltas.takeDelta('a', origin, [[15, 1]]), [[5, 1]]);
   assert.equal(
-    deltas.take('a', reborn, [[10, 9]]),
+    deltas.takeDelta('b', origin, [[20, 1]]),
     undefined,
-    'an engine that says it started again, whatever its totals are',
+    'first call of a second coordinator',
+  );
+  assert.deepEqual(deltas.takeDelta('a', origin, [[25, 1]]), [[10, 0]]);
+  assert.deepEqual(
+    deltas.takeDelta('a', origin, [[3, 4]]),
+    [[0, 3]],
+    'unreported engine restart: totals decreased',
+  );
+  const reformed = { ...origin, groupEpoch: 2 };
+  assert.equal(deltas.takeDelta('a', reformed, [[9, 9]]), undefined, 'group re-formed');
+  const restarted = { ...reformed, engineStartedAtMs: 200 };
+  assert.equal(
+    deltas.takeDelta('a', restarted, [[10, 9]]),
+    undefined,
+    'reported engine restart, even if totals increased',
   );
 });
 
-/** Figures before: a map was told whole each time, 22 KB, as are those of each rank's own random experts here. */
-test('a map as a change of another one is that map, in 6 KB where a third of a large one changed', () => {
+/**
+ * Guards against sending whole maps in every round, which took 22 KB per map for a group of this
+ * size.
+ */
+test('a map change restores the map and takes less than 6 KB when a third of a large map changed', () => {
   const ranks = 129;
   const layers = Array.from({ length: 16 }, (_, l) =>
     Array.from({ length: ranks }, (_, rank) => [rank, rank + ranks, (7 * rank + l) % 258]),
@@ -99,40 +113,44 @@
       layer.map((held, rank) => (rank % 3 === 0 ? [...held.slice(0, 2), (rank + 5) % 258] : held)),
     ),
   };
-  const change = packChange(base, next);
-  assert.deepEqual(unpackChange(base, change), next);
+  const change = packMapChange(base, next);
+  assert.deepEqual(unpackMapChange(base, change), next);
   const random = seededRandom(7);
-  const mixed = layers.map((layer) =>
+  const randomLayers = layers.map((layer) =>
     layer.map((held) => held.map(() => Math.floor(258 * random()))),
   );
-  const bytes = JSON.stringify(packMap({ id: '3072', layers: mixed })).length;
+  const bytes = JSON.stringify(packMap({ id: '3072', layers: randomLayers })).length;
   assert.ok(bytes > 10_000 && bytes < 13_000, `${bytes} bytes whole`);
   const deflated = deflateRawSync(JSON.stringify(change)).toString('base64');
   assert.ok(deflated.length < 6000, `${deflated.length} bytes`);
-  assert.equal(packChange(base, { ...base, id: '2048' }).cells, '', 'nothing changed');
+  assert.equal(
+    packMapChange(base, { ...base, id: '2048' }).cells,
+    '',
+    'equal maps give an empty change',
+  );
 });
 
-test('a change that does not give the map it was made for is no map', () => {
+test('a map change that fails its checksum is rejected', () => {
   const base = { id: 'a', layers: [[[0, 1], [2]]] };
   const next = { id: 'b', layers: [[[0, 3], [2]]] };
-  const change = packChange(base, next);
+  const change = packMapChange(base, next);
   const other = { id: 'a', layers: [[[0, 1], [4]]] };
-  assert.equal(unpackChange(other, change), undefined, 'another base under the same id');
-  assert.equal(unpackChange(base, { ...change, cells: 'AAA=' }), undefined, 'cut short');
+  assert.equal(unpackMapChange(other, change), undefined, 'different base with the same id');
+  assert.equal(unpackMapChange(base, { ...change, cells: 'AAA=' }), undefined, 'truncated cells');
 });
 
-test('an empty layer and a rank that gives up all it holds are told as well', () => {
+test('map changes restore maps with empty layers and ranks that lose all their experts', () => {
   fc.assert(
-    fc.property(layersOf(), layersOf(), (before, after) => {
+    fc.property(layersArbitrary(), layersArbitrary(), (before, after) => {
       const base = { id: 'a', layers: before };
       const next = { id: 'b', layers: after };
-      assert.deepEqual(unpackChange(base, packChange(base, next)), next);
+      assert.deepEqual(unpackMapChange(base, packMapChange(base, next)), next);
     }),
   );
 });
 
-/** Two layers of three ranks that hold up to four experts each. */
-function layersOf(): fc.Arbitrary<number[][][]> {
+/** Two layers of three ranks with up to four experts each. */
+function layersArbitrary(): fc.Arbitrary<number[][][]> {
   const held = fc.array(fc.nat({ max: 300 }), { maxLength: 4 });
   return fc.array(fc.array(held, { minLength: 3, maxLength: 3 }), { minLength: 2, maxLength: 2 });
 }
--- a/test/core/groups/switch.test.ts
+++ b/test/core/groups/switch-round.test.ts
@@ -3,11 +3,11 @@
 import fc from 'fast-check';
 import { asId, type Incarnation } from '../../../src/core/ids/index.js';
 import {
-  COUNT_BYTES,
+  ESTIMATED_COUNT_BYTES,
   nextEpoch,
-  ORDER_BYTES,
+  ESTIMATED_ORDER_BYTES,
   RankGate,
-  ROUND_BYTES_PER_SECOND,
+  MAX_ROUND_BYTES_PER_SECOND,
   roundPauseMs,
   callEachRank,
   runSwitch,
@@ -23,18 +23,18 @@
 const INITIAL: ExpertMap = { id: 'm0', layers: [[[0], [1], [2]]] };
 const RANKS = 3;
 
-/** An engine of one rank: the truth that outlives its agent. */
+/** Simulated engine of one rank, whose state survives restarts of its agent. */
 class SimEngine implements RankEngine {
   step = 0;
   fence = 0;
   map = INITIAL;
   armed: { epoch: number; map: ExpertMap; step: number; confirmed: boolean } | undefined;
   lastConfirmed = 0;
-  readonly used: string[] = [];
+  readonly usedMapIds: string[] = [];
 
   constructor(
     private readonly checksFences: boolean,
-    private readonly holds: boolean,
+    private readonly holdsWhenArmed: boolean,
   ) {}
 
   read(): Promise<EngineState> {
@@ -60,7 +60,7 @@
 
   mustHold(): boolean {
     return (
-      this.holds &&
+      this.holdsWhenArmed &&
       this.armed !== undefined &&
       !this.armed.confirmed &&
       this.step + 1 >= this.armed.step
@@ -73,7 +73,7 @@
       this.map = this.armed.map;
       this.armed = undefined;
     }
-    this.used.push(this.map.id);
+    this.usedMapIds.push(this.map.id);
   }
 
   private apply(order: EngineOrder): boolean {
@@ -96,15 +96,15 @@
 
 interface Variant {
   readonly checksFences: boolean;
-  readonly holds: boolean;
+  readonly holdsWhenArmed: boolean;
 }
 
-const SOUND: Variant = { checksFences: false, holds: true };
+const CORRECT: Variant = { checksFences: false, holdsWhenArmed: true };
 
-/** Ranks, agents and coordinators whose every message may be late or lost. */
-class World {
+/** Simulated ranks, agents and coordinators; every message may be delayed or lost. */
+class SimCluster {
   readonly engines: SimEngine[];
-  readonly gates: RankGate[] = [];
+  readonly participants: RankGate[] = [];
   private readonly restarts: number[] = [];
 
   constructor(
@@ -113,7 +113,7 @@
   ) {
     this.engines = Array.from(
       { length: RANKS },
-      () => new SimEngine(variant.checksFences, variant.holds),
+      () => new SimEngine(variant.checksFences, variant.holdsWhenArmed),
     );
     this.engines.forEach((_, rank) => this.startAgent(rank));
   }
@@ -121,10 +121,14 @@
   startAgent(rank: number): void {
     this.restarts[rank] = (this.restarts[rank] ?? 0) + 1;
     const incarnation = asId<Incarnation>(`r${rank}-${this.restarts[rank]}`);
-    this.gates[rank] = new RankGate(incarnation, this.engines[rank] as SimEngine, () => rank);
+    this.participants[rank] = new RankGate(
+      incarnation,
+      this.engines[rank] as SimEngine,
+      () => rank,
+    );
   }
 
-  /** Every rank enters the next step together, unless one of them holds. */
+  /** All ranks enter the next step together, unless an armed rank waits for a decision. */
   advance(): void {
     if (this.engines.some((e) => e.mustHold())) return;
     for (const engine of this.engines) engine.enterNext();
@@ -135,7 +139,7 @@
     let sent = 0;
     for (let round = 0; round < rounds; round += 1) {
       const epoch = nextEpoch(highest, id);
-      const end = await runSwitch(
+      const outcome = await runSwitch(
         {
           group: 'g',
           ranks: RANKS,
@@ -147,7 +151,7 @@
             const number = sent;
             await this.s.schedule(Promise.resolve(), `${id} ${order.kind} ${rank}`);
             if (lost.has(number)) throw new Error('lost');
-            const reply = await (this.gates[rank] as RankGate).serve(order);
+            const reply = await (this.participants[rank] as RankGate).serve(order);
             await this.s.schedule(Promise.resolve(), `${rank} replies ${id}`);
             return reply;
           }),
@@ -155,18 +159,18 @@
         epoch,
         () => ({ id: `m${id}-${round}`, layers: INITIAL.layers }),
       );
-      highest = end.kind === 'blocked' ? Math.max(epoch, end.highest) : epoch;
+      highest = outcome.kind === 'blocked' ? Math.max(epoch, outcome.highest) : epoch;
     }
   }
 }
 
-async function happen(world: World, s: fc.Scheduler, rank: number): Promise<void> {
+async function runEvent(cluster: SimCluster, s: fc.Scheduler, rank: number): Promise<void> {
   await s.schedule(Promise.resolve(), rank < 0 ? 'step' : `restart ${rank}`);
-  if (rank >= 0) world.startAgent(rank);
-  else world.advance();
+  if (rank >= 0) cluster.startAgent(rank);
+  else cluster.advance();
 }
 
-function property(variant: Variant) {
+function consistencyProperty(variant: Variant) {
   const events = fc.array(
     fc.oneof(
       { weight: 6, arbitrary: fc.constant(-1) },
@@ -178,47 +182,53 @@
     fc.scheduler(),
     events,
     fc.uniqueArray(fc.nat({ max: 40 }), { maxLength: 4 }),
-    async (s, happenings, lost) => {
-      const world = new World(s, variant);
+    async (s, eventList, lost) => {
+      const cluster = new SimCluster(s, variant);
       const coordinators = [0, 1].map((id) =>
-        world.coordinate(id, 2, new Set(lost.map((n) => n + id))),
+        cluster.coordinate(id, 2, new Set(lost.map((n) => n + id))),
       );
-      const changes = (async (): Promise<void> => {
-        // One after another, so that they spread over the messages' whole time.
-        for (const rank of happenings) await happen(world, s, rank);
+      const eventRun = (async (): Promise<void> => {
+        // Sequential, so that the events spread over the whole run.
+        for (const rank of eventList) await runEvent(cluster, s, rank);
       })();
-      await s.waitFor(Promise.all([...coordinators, changes]));
-      const [first, ...others] = world.engines;
-      for (const other of others) assert.deepEqual(other.used, first?.used);
+      await s.waitFor(Promise.all([...coordinators, eventRun]));
+      const [first, ...others] = cluster.engines;
+      for (const other of others) assert.deepEqual(other.usedMapIds, first?.usedMapIds);
     },
   );
 }
 
-test('with two coordinators, lost messages and restarted agents every rank uses one map in every step', async () => {
-  await fc.assert(property(SOUND), { seed: 31, numRuns: 400 });
+test('all ranks use the same map in every step despite two coordinators, lost messages and agent restarts', async () => {
+  await fc.assert(consistencyProperty(CORRECT), { seed: 31, numRuns: 400 });
 });
 
-test('engines that check fences themselves are no worse off', async () => {
-  await fc.assert(property({ ...SOUND, checksFences: true }), { seed: 32, numRuns: 200 });
+test('all ranks use the same map in every step when engines check fences as well', async () => {
+  await fc.assert(consistencyProperty({ ...CORRECT, checksFences: true }), {
+    seed: 32,
+    numRuns: 200,
+  });
 });
 
-test('the same exploration finds mixed maps when armed ranks do not hold', async () => {
-  const verdict = await fc.check(property({ ...SOUND, holds: false }), { seed: 33, numRuns: 1000 });
-  assert.ok(verdict.failed);
+test('the same property fails when armed ranks do not wait for the decision', async () => {
+  const result = await fc.check(consistencyProperty({ ...CORRECT, holdsWhenArmed: false }), {
+    seed: 33,
+    numRuns: 1000,
+  });
+  assert.ok(result.failed);
 });
 
-/** Ranks whose engines check fences and hold, each behind a gate of its own. */
+/** Starts ranks whose engines check fences and wait when armed, each with its own participant. */
 function startRanks(): { readonly engines: SimEngine[]; readonly call: CallRank } {
   const engines = Array.from({ length: RANKS }, () => new SimEngine(true, true));
-  const gates = engines.map(
+  const participants = engines.map(
     (e, rank) => new RankGate(asId<Incarnation>(`r${rank}`), e, () => rank),
   );
-  return { engines, call: (rank, order) => (gates[rank] as RankGate).serve(order) };
+  return { engines, call: (rank, order) => (participants[rank] as RankGate).serve(order) };
 }
 
-test('a quiet group switches, and a coordinator that died after arming is cleaned up after', async () => {
+test('the next coordinator aborts the switch of one that crashed after arming, and switches itself', async () => {
   const { engines, call } = startRanks();
-  const c = {
+  const ctx = {
     group: 'g',
     ranks: RANKS,
     known: undefined,
@@ -226,9 +236,9 @@
     marginSteps: () => 2,
     callRanks: callEachRank(call),
   };
-  const dying = runSwitch(
+  const crashing = runSwitch(
     {
-      ...c,
+      ...ctx,
       callRanks: callEachRank((rank, order) =>
         order.kind === 'confirm' || order.kind === 'abort'
           ? Promise.reject(new Error('dead'))
@@ -238,25 +248,25 @@
     1024,
     () => ({ ...INITIAL, id: 'm1' }),
   );
-  assert.equal((await dying).kind, 'blocked');
+  assert.equal((await crashing).kind, 'blocked');
   assert.ok(engines.every((e) => e.armed && !e.armed.confirmed));
-  const next = await runSwitch(c, 2049, () => ({ ...INITIAL, id: 'm2' }));
+  const next = await runSwitch(ctx, 2049, () => ({ ...INITIAL, id: 'm2' }));
   assert.equal(next.kind, 'switched');
   assert.ok(engines.every((e) => e.armed?.map.id === 'm2' && e.armed.confirmed));
 });
 
-test('the margin before the switch is asked for when all ranks have their copies', async () => {
+test('the switch margin is computed after all ranks have prepared and before any is armed', async () => {
   const { call } = startRanks();
   const kinds: string[] = [];
-  let askedAfter: readonly string[] = [];
-  const end = await runSwitch(
+  let kindsBeforeMargin: readonly string[] = [];
+  const outcome = await runSwitch(
     {
       group: 'g',
       ranks: RANKS,
       known: undefined,
       wantsCounts: false,
       marginSteps: () => {
-        askedAfter = [...kinds];
+        kindsBeforeMargin = [...kinds];
         return 5;
       },
       callRanks: callEachRank(async (rank, order) => {
@@ -268,12 +278,12 @@
     1024,
     () => ({ ...INITIAL, id: 'm1' }),
   );
-  assert.ok(end.kind === 'switched' && end.step === 5);
-  assert.equal(askedAfter.filter((kind) => kind === 'prepare').length, RANKS);
-  assert.ok(!askedAfter.includes('arm'));
+  assert.ok(outcome.kind === 'switched' && outcome.step === 5);
+  assert.equal(kindsBeforeMargin.filter((kind) => kind === 'prepare').length, RANKS);
+  assert.ok(!kindsBeforeMargin.includes('arm'));
 });
 
-test('epochs of two coordinators never meet', () => {
+test('two coordinators never use the same epoch', () => {
   fc.assert(
     fc.property(
       fc.nat({ max: 1e6 }),
@@ -289,20 +299,20 @@
   );
 });
 
-test('small groups keep the configured pause, large ones keep within their bytes', () => {
+test('small groups use the configured delay, large ones stay within the bandwidth limit', () => {
   assert.equal(roundPauseMs({ ranks: 4, layers: 8, slotsPerRank: 3 }, 2000), 2000);
   const large = roundPauseMs({ ranks: 32, layers: 60, slotsPerRank: 3 }, 2000);
-  const bytes = 32 * (ORDER_BYTES + 60 * 3 * COUNT_BYTES);
-  assert.ok(bytes / (large / 1000) <= ROUND_BYTES_PER_SECOND + 1);
+  const bytes = 32 * (ESTIMATED_ORDER_BYTES + 60 * 3 * ESTIMATED_COUNT_BYTES);
+  assert.ok(bytes / (large / 1000) <= MAX_ROUND_BYTES_PER_SECOND + 1);
 });
 
-test('recovery decides nothing on a promise that a restarted agent has forgotten', async () => {
+test('recovery makes no decision when a restarted agent has lost its promise', async () => {
   const engines = Array.from({ length: RANKS }, () => new SimEngine(false, true));
   const start = (rank: number, n: number): RankGate =>
     new RankGate(asId<Incarnation>(`r${rank}-${n}`), engines[rank] as SimEngine, () => rank);
-  const gates = engines.map((_, rank) => start(rank, 1));
-  const serve = (rank: number, order: RankOrder) => (gates[rank] as RankGate).serve(order);
-  const c = {
+  const participants = engines.map((_, rank) => start(rank, 1));
+  const serve = (rank: number, order: RankOrder) => (participants[rank] as RankGate).serve(order);
+  const ctx = {
     group: 'g',
     ranks: RANKS,
     known: undefined,
@@ -310,10 +320,10 @@
     marginSteps: () => 2,
     callRanks: callEachRank(serve),
   };
-  // A coordinator arms rank 1 alone and falls silent.
+  // A coordinator arms only rank 1 and then stops.
   await runSwitch(
     {
-      ...c,
+      ...ctx,
       callRanks: callEachRank((rank, order) =>
         order.kind === 'promise' || order.kind === 'prepare' || (order.kind === 'arm' && rank === 1)
           ? serve(rank, order)
@@ -324,13 +334,13 @@
     () => ({ ...INITIAL, id: 'm1' }),
   );
   assert.equal(engines[1]?.armed?.map.id, 'm1');
-  // The next one has every promise, but rank 0 restarts before the decision.
-  const end = await runSwitch(
+  // The next coordinator gets every promise, but the agent of rank 0 restarts before the decision.
+  const outcome = await runSwitch(
     {
-      ...c,
+      ...ctx,
       callRanks: callEachRank(async (rank, order) => {
         const reply = await serve(rank, order);
-        if (order.kind === 'promise' && rank === 0) gates[0] = start(0, 2);
+        if (order.kind === 'promise' && rank === 0) participants[0] = start(0, 2);
         return reply;
       }),
     },
@@ -338,10 +348,10 @@
     () => undefined,
   );
   assert.deepEqual(
-    [end.kind, end.kind === 'blocked' && end.detail.startsWith('recheck')],
+    [outcome.kind, outcome.kind === 'blocked' && outcome.detail.startsWith('recheck')],
     ['blocked', true],
   );
   assert.equal(engines[1]?.armed?.map.id, 'm1', 'nothing was aborted');
-  assert.equal((await runSwitch(c, 3073, () => undefined)).kind, 'kept');
+  assert.equal((await runSwitch(ctx, 3073, () => undefined)).kind, 'kept');
   assert.ok(engines.every((e) => e.armed === undefined));
 });
