--- a/test/core/placement/round-plan.test.ts
+++ b/test/core/placement/round-plan.test.ts
@@ -53,14 +53,14 @@
       smallLimit,
       smallLimit,
       (counts, slowdowns, maxNewPerRank, maxNewPerRankAndLayer) => {
-        const policy = {
+        const randomPolicy = {
           slotsPerRank: SLOTS,
           mostNew: maxNewPerRank,
           mostNewInLayer: maxNewPerRankAndLayer,
           gainPerCopy: 0.002,
           pace: slowdowns,
         };
-        const plan = planRound(roundRobin, counts, policy);
+        const plan = planRound(roundRobin, counts, randomPolicy);
         plan.placement.forEach((layer) => {
           assert.equal(new Set(layer.flat()).size, EXPERTS);
           for (const rank of layer) {
@@ -94,14 +94,14 @@
   const slowdowns = [5, 1, 1, 1];
   let current = roundRobin;
   for (let round = 0; round < 6; round += 1) {
-    const policy = {
+    const slowRankPolicy = {
       slotsPerRank: SLOTS,
       mostNew: 2,
       mostNewInLayer: 2,
       gainPerCopy: 0.002,
       pace: slowdowns,
     };
-    current = planRound(current, even, policy).placement;
+    current = planRound(current, even, slowRankPolicy).placement;
   }
   assert.ok(skewOf(roundRobin, even, slowdowns) > 4.9);
   assert.ok(skewOf(current, even, slowdowns) < 2, `${skewOf(current, even, slowdowns)}`);
@@ -110,16 +110,16 @@
 
 test('nothing is copied when the load is even or zero', () => {
   const even = Array.from({ length: LAYERS }, () => new Array<number>(EXPERTS).fill(100));
-  const policy = {
+  const evenLoadPolicy = {
     slotsPerRank: SLOTS,
     mostNew: 2,
     mostNewInLayer: 2,
     gainPerCopy: 0.002,
     pace: [1, 1, 1, 1],
   };
-  assert.equal(planRound(roundRobin, even, policy).copies, 0);
+  assert.equal(planRound(roundRobin, even, evenLoadPolicy).copies, 0);
   const idle = Array.from({ length: LAYERS }, () => new Array<number>(EXPERTS).fill(0));
-  assert.equal(planRound(roundRobin, idle, policy).copies, 0);
+  assert.equal(planRound(roundRobin, idle, evenLoadPolicy).copies, 0);
 });
 
 /**
@@ -144,7 +144,7 @@
   const cpuTimesMs = Array.from({ length: 5 }, () => {
     const demand = current.map(() => Array.from({ length: experts }, () => 1000 * randomWeight()));
     const slowdowns = new Array<number>(ranks).fill(1);
-    const policy = {
+    const largeGroupPolicy = {
       slotsPerRank,
       mostNew: 16,
       mostNewInLayer: 2,
@@ -152,7 +152,7 @@
       pace: slowdowns,
     };
     const startedAt = process.cpuUsage();
-    const plan = planRound(current, demand, policy);
+    const plan = planRound(current, demand, largeGroupPolicy);
     const { user, system } = process.cpuUsage(startedAt);
     assert.ok(plan.copies > 500 && plan.skewAfter < 0.4 * plan.skewBefore);
     return (user + system) / 1000;
