--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -2,7 +2,7 @@
 export * from './layer-planner.js';
 export * from './plan.js';
 export * from './popularity.js';
-export * from './repack.js';
+export * from './pack-placement.js';
 export * from './skew.js';
 export * from './types.js';
 export * from './round-plan.js';
