--- a/test/core/limits/limits.test.ts
+++ b/test/core/limits/limits.test.ts
@@ -7,91 +7,109 @@
   OwnCount,
   placesOf,
   runningNow,
-  STREAM_LIMIT,
+  DEFAULT_STREAM_LIMIT_OPTIONS,
   StreamLimit,
   TurnQueue,
   turnTerms,
   type StepModel,
 } from '../../../src/core/limits/index.js';
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 const MODEL: StepModel = { ranks: 12, slots: 8, stepMs: 4.5, perRequestMs: 1.4 };
 const ALLOWED_MS = 120;
 
-/** Pauses of a group that runs `streams`, each `factor` times the published time of a step. */
+/** Pause of a group that runs `streams`: `factor` times the published duration of a step. */
 function pause(streams: number, factor: number): number {
   return factor * (MODEL.stepMs + (MODEL.perRequestMs * streams) / MODEL.ranks);
 }
 
-/** Notes such pauses for a while. */
-function note(limit: StreamLimit, streams: number, factor: number, from: number, to: number): void {
+/** Notes such pauses from one time to another, ms. */
+function note(
+  estimator: StreamLimit,
+  streams: number,
+  factor: number,
+  from: number,
+  to: number,
+): void {
   for (let at = from; at < to; at += 20)
-    limit.notePause(pause(streams, factor), streams, MODEL, at);
+    estimator.notePause(pause(streams, factor), streams, MODEL, at);
 }
 
-test('the limit is what keeps pauses within what is allowed in the slow steps of late', () => {
-  const limit = new StreamLimit();
-  assert.equal(limit.streams(ALLOWED_MS, MODEL), STREAM_LIMIT.startPerRank * MODEL.ranks);
-  // Steps of ten times the published time for half of each four seconds, and of twenty for a moment.
+test('the limit keeps pauses within the allowed time at recent slow steps', () => {
+  const estimator = new StreamLimit();
+  assert.equal(
+    estimator.streams(ALLOWED_MS, MODEL),
+    DEFAULT_STREAM_LIMIT_OPTIONS.initialPerRank * MODEL.ranks,
+  );
+  // Of each 4 s, steps take 20 times the published duration for 0.5 s, and 10 times for 2 s.
   for (let at = 0; at < 16_000; at += 4000) {
-    note(limit, 40, 20, at, at + 500);
-    note(limit, 40, 10, at + 500, at + 2500);
-    note(limit, 40, 5, at + 2500, at + 4000);
+    note(estimator, 40, 20, at, at + 500);
+    note(estimator, 40, 10, at + 500, at + 2500);
+    note(estimator, 40, 5, at + 2500, at + 4000);
   }
-  const streams = limit.streams(ALLOWED_MS, MODEL);
-  assert.ok(pause(streams, 10) <= ALLOWED_MS * STREAM_LIMIT.targetShare + 0.01, `${streams}`);
-  assert.ok(pause(streams + 3, 10) > ALLOWED_MS * STREAM_LIMIT.targetShare, `${streams}`);
+  const streams = estimator.streams(ALLOWED_MS, MODEL);
+  assert.ok(
+    pause(streams, 10) <= ALLOWED_MS * DEFAULT_STREAM_LIMIT_OPTIONS.targetPauseShare + 0.01,
+    `${streams}`,
+  );
+  assert.ok(
+    pause(streams + 3, 10) > ALLOWED_MS * DEFAULT_STREAM_LIMIT_OPTIONS.targetPauseShare,
+    `${streams}`,
+  );
 });
 
-test('where no limit keeps pauses in time, streams are let in as usual, not refused', () => {
-  const limit = new StreamLimit();
-  note(limit, 40, 30, 0, 8000);
-  assert.equal(limit.streams(ALLOWED_MS, MODEL), STREAM_LIMIT.usualPerRank * MODEL.ranks);
+test('if no limit keeps pauses in time, the fallback limit applies instead of a lower one', () => {
+  const estimator = new StreamLimit();
+  note(estimator, 40, 30, 0, 8000);
+  assert.equal(
+    estimator.streams(ALLOWED_MS, MODEL),
+    DEFAULT_STREAM_LIMIT_OPTIONS.fallbackPerRank * MODEL.ranks,
+  );
 });
 
-test('the limit rises again when slow steps are long past, to what the ranks take at most', () => {
-  const limit = new StreamLimit();
-  note(limit, 40, 12, 0, 8000);
-  assert.ok(limit.streams(ALLOWED_MS, MODEL) < 45);
-  note(limit, 18, 2, 8000, 17_000);
-  const most = STREAM_LIMIT.mostSlotShare * MODEL.slots * MODEL.ranks;
-  assert.equal(limit.streams(ALLOWED_MS, MODEL), most);
+test('the limit rises to its maximum once slow steps are out of the window', () => {
+  const estimator = new StreamLimit();
+  note(estimator, 40, 12, 0, 8000);
+  assert.ok(estimator.streams(ALLOWED_MS, MODEL) < 45);
+  note(estimator, 18, 2, 8000, 17_000);
+  const max = DEFAULT_STREAM_LIMIT_OPTIONS.maxSlotShare * MODEL.slots * MODEL.ranks;
+  assert.equal(estimator.streams(ALLOWED_MS, MODEL), max);
 });
 
-test('a group that was held for a moment does not lower the limit', () => {
-  const limit = new StreamLimit();
-  note(limit, 40, 5, 0, 8000);
-  const before = limit.streams(ALLOWED_MS, MODEL);
-  limit.notePause(1500, 40, MODEL, 8010);
-  note(limit, 40, 5, 8020, 9000);
-  assert.ok(Math.abs(limit.streams(ALLOWED_MS, MODEL) - before) < 1);
+test('a single long stall of the group does not lower the limit', () => {
+  const estimator = new StreamLimit();
+  note(estimator, 40, 5, 0, 8000);
+  const before = estimator.streams(ALLOWED_MS, MODEL);
+  estimator.notePause(1500, 40, MODEL, 8010);
+  note(estimator, 40, 5, 8020, 9000);
+  assert.ok(Math.abs(estimator.streams(ALLOWED_MS, MODEL) - before) < 1);
 });
 
-test('the places of all entries together are the limit, and what is free is shared out once', () => {
+test('the slots of all entries together do not exceed the limit plus the free slots', () => {
   fc.assert(
     fc.property(
       fc.array(fc.integer({ min: 0, max: 20 }), { minLength: 1, maxLength: 40 }),
       fc.integer({ min: 10, max: 300 }),
       (owns, limit) => {
         const running = owns.reduce((sum, own) => sum + own, 0);
-        const places = owns.map((own) =>
+        const slots = owns.map((own) =>
           placesOf({ limit, running, ageMs: 0, ownThen: own, own, entries: owns.length }),
         );
-        const all = places.reduce((sum, n) => sum + n, 0);
-        // Each entry keeps two places and rounds by half a place.
+        const all = slots.reduce((sum, n) => sum + n, 0);
+        // Each entry keeps at least two slots and rounds by half a slot.
         assert.ok(all <= limit + Math.max(0, limit - running) + 2.5 * owns.length);
       },
     ),
   );
 });
 
-test('of entries that ask for all they can get, unequal shares become equal', () => {
+test('unequal shares of entries that use all their slots converge', () => {
   const own = [30, 6, 6];
   for (let round = 0; round < 60; round += 1) {
     const running = own.reduce((sum, n) => sum + n, 0);
     own.forEach((n, i) => {
-      const places = placesOf({
+      const slots = placesOf({
         limit: 42,
         running,
         ageMs: 0,
@@ -99,83 +117,87 @@
         own: n,
         entries: own.length,
       });
-      // Streams end and begin: an entry moves part of the way to its places.
-      own[i] = n + (places - n) * 0.3;
+      // Streams end and begin: an entry moves part of the way to its number of slots.
+      own[i] = n + (slots - n) * 0.3;
     });
   }
   for (const n of own) assert.ok(Math.abs(n - 14) <= 3, own.join(' '));
 });
 
-test('an entry with all the callers may use nearly all of the group', () => {
+test('an entry that has all callers may use nearly all of the limit', () => {
   let own = 4;
   for (let round = 0; round < 40; round += 1)
     own = placesOf({ limit: 48, running: own, ageMs: 0, ownThen: own, own, entries: 7 });
   assert.ok(own >= 40 && own <= 52, `${own}`);
 });
 
-test('own streams of the past are those that ran then', () => {
-  const own = new OwnCount();
-  assert.equal(own.at(100), 0);
-  for (let at = 0; at < 10_000; at += 100) own.note(at / 100, at);
-  assert.equal(own.at(9900), 99);
-  assert.equal(own.at(9150), 91);
-  assert.equal(own.at(6000), 60);
-  assert.ok(own.at(0) <= 59, 'what is long past is forgotten');
+test('stream count history returns the count at a past time', () => {
+  const history = new OwnCount();
+  assert.equal(history.at(100), 0);
+  for (let at = 0; at < 10_000; at += 100) history.note(at / 100, at);
+  assert.equal(history.at(9900), 99);
+  assert.equal(history.at(9150), 91);
+  assert.equal(history.at(6000), 60);
+  assert.ok(history.at(0) <= 59, 'old samples are dropped');
 });
 
-test('a fresh count of a group stands; the older it is, the more own streams tell of it', () => {
+test('a fresh group count is used as is, an older one is corrected by the change of own streams', () => {
   const count = { running: 160, ownThen: 4, own: 12, entries: 40 };
   assert.equal(runningNow({ ...count, ageMs: 0 }), 160);
   const soon = runningNow({ ...count, ageMs: 200 });
   const late = runningNow({ ...count, ageMs: 1500 });
   assert.ok(160 < soon && soon < late && late < 160 + 40 * 8, `${soon} ${late}`);
   assert.ok(runningNow({ ...count, ownThen: 4, own: 0, ageMs: 1500 }) < 160);
-  // Between its own count of then and the mean of all, an entry only comes nearer to the others.
+  // A change from the old own count towards the mean of all entries does not count.
   assert.equal(runningNow({ ...count, ownThen: 12, own: 6, ageMs: 1500 }), 160);
 });
 
-test('a place is given at once, after a wait, or not at all', async () => {
-  const turns = new TurnQueue(() => 1);
-  assert.equal(await turns.take(1, 50, never), true);
-  const second = turns.take(1, 200, never);
-  turns.release();
+test('a slot is granted at once, after a wait, or not at all', async () => {
+  const queue = new TurnQueue(() => 1);
+  assert.equal(await queue.take(1, 50, neverAborted), true);
+  const second = queue.take(1, 200, neverAborted);
+  queue.release();
   assert.equal(await second, true);
   const startedAt = performance.now();
-  assert.equal(await turns.take(1, 30, never), false);
+  assert.equal(await queue.take(1, 30, neverAborted), false);
   assert.ok(performance.now() - startedAt >= 25);
-  assert.equal(turns.running, 1);
-  assert.equal(turns.queued, 0);
+  assert.equal(queue.running, 1);
+  assert.equal(queue.queued, 0);
 });
 
-test('the more urgent goes first, and no more wait than can hope', async () => {
-  const turns = new TurnQueue(() => 8);
-  for (let i = 0; i < 8; i += 1) await turns.take(1, 10, never);
+test('higher priority goes first, and requests too far back in the queue are refused at once', async () => {
+  const queue = new TurnQueue(() => 8);
+  for (let i = 0; i < 8; i += 1) await queue.take(1, 10, neverAborted);
   const order: string[] = [];
-  const usual = turns.take(3, 500, never).then(() => order.push('usual'));
-  const urgent = turns.take(0, 500, never).then(() => order.push('urgent'));
-  assert.equal(await turns.take(3, 500, never), false);
-  turns.release();
+  const usual = queue.take(3, 500, neverAborted).then(() => order.push('usual'));
+  const urgent = queue.take(0, 500, neverAborted).then(() => order.push('urgent'));
+  assert.equal(await queue.take(3, 500, neverAborted), false);
+  queue.release();
   await urgent;
-  turns.release();
+  queue.release();
   await usual;
   assert.deepEqual(order, ['urgent', 'usual']);
 });
 
-test('who waits behind does not keep a more urgent one from waiting', async () => {
-  const turns = new TurnQueue(() => 4);
-  for (let i = 0; i < 4; i += 1) await turns.take(1, 10, never);
+test('waiting requests with a higher order do not keep others out of the queue', async () => {
+  const queue = new TurnQueue(() => 4);
+  for (let i = 0; i < 4; i += 1) await queue.take(1, 10, neverAborted);
   const order: string[] = [];
-  const back = turns.take(101, 500, never).then((got) => order.push(`back ${got}`));
-  assert.equal(await turns.take(101, 500, never), false);
-  const fresh = turns.take(1, 500, never).then((got) => order.push(`fresh ${got}`));
-  turns.release();
-  await fresh;
-  turns.release();
-  await back;
-  assert.deepEqual(order, ['fresh true', 'back true']);
+  const returning = queue
+    .take(101, 500, neverAborted)
+    .then((granted) => order.push(`returning ${granted}`));
+  assert.equal(await queue.take(101, 500, neverAborted), false);
+  const firstTry = queue
+    .take(1, 500, neverAborted)
+    .then((granted) => order.push(`first try ${granted}`));
+  queue.release();
+  await firstTry;
+  queue.release();
+  await returning;
+  assert.deepEqual(order, ['first try true', 'returning true']);
 });
 
-test('a fresh caller goes before any that came back, and waits for an eighth of the target at most', () => {
+test('first tries go before returning callers and wait for at most an eighth of the target', () => {
   const caller = fc.record({
     isReturning: fc.boolean(),
     priority: fc.integer({ min: 0, max: 9 }),
@@ -193,53 +215,52 @@
   );
 });
 
-test('who waits gets a place as soon as more are allowed', async () => {
+test('a waiting request gets a slot as soon as the capacity grows', async () => {
   let allowed = 1;
-  const turns = new TurnQueue(() => allowed);
-  await turns.take(1, 10, never);
-  const waiting = turns.take(1, 5000, never);
+  const queue = new TurnQueue(() => allowed);
+  await queue.take(1, 10, neverAborted);
+  const waiting = queue.take(1, 5000, neverAborted);
   allowed = 2;
-  turns.giveFree();
+  queue.giveFree();
   assert.equal(await waiting, true);
 });
 
-test('a caller that leaves gives its wait up and takes no place', async () => {
-  const turns = new TurnQueue(() => 1);
-  await turns.take(1, 10, never);
-  const gone = new AbortController();
-  const waiting = turns.take(1, 1000, gone.signal);
-  gone.abort();
+test('a caller that disconnects leaves the queue and takes no slot', async () => {
+  const queue = new TurnQueue(() => 1);
+  await queue.take(1, 10, neverAborted);
+  const disconnect = new AbortController();
+  const waiting = queue.take(1, 1000, disconnect.signal);
+  disconnect.abort();
   assert.equal(await waiting, false);
-  turns.release();
+  queue.release();
   await wait(5);
-  assert.equal(turns.running, 0);
+  assert.equal(queue.running, 0);
 });
 
-test('failures in a row are an outage until something serves again; probes go through', () => {
-  const outage = new Outage({ failures: 3, leastMs: 100, probeMs: 200 });
+test('consecutive failures are an outage until a success, with probes let through', () => {
+  const outage = new Outage({ minFailures: 3, minDurationMs: 100, probeIntervalMs: 200 });
   for (const at of [0, 10, 20]) outage.noteBad(at);
-  assert.equal(outage.refuses(50), false, 'too soon to tell');
+  assert.equal(outage.refuses(50), false, 'not long enough for an outage');
   assert.equal(outage.refuses(150), false, 'the first probe');
   assert.equal(outage.refuses(160), true);
   assert.equal(outage.refuses(360), false, 'the next probe');
   outage.noteGood();
   assert.equal(outage.refuses(400), false);
   outage.noteBad(500);
-  assert.equal(outage.refuses(700), false, 'one failure is none');
+  assert.equal(outage.refuses(700), false, 'one failure is no outage');
 });
 
 /**
- * Story: on a group of 129 ranks with four slots each entries refused callers by a limit of 581 streams whenever steps were
- * slow, and the group ran 421 of them: what came to ranks without a free slot waited, and its first event was late.
- * Evidence: `limit=581` beside `running=421` in the lines `group.seen` of a deployment of 228 daemons under load, seconds 3 to 7.
+ * Guards against a limit above the number of slots. With 129 ranks of four slots the fallback limit was 581 streams
+ * whenever steps were slow; the group ran 421, requests to ranks without a free slot waited, and their first event was late.
  */
-test('no limit takes more than its share of the slots, however slow steps are', () => {
+test('the limit never exceeds its share of the slots, however slow steps are', () => {
   const model: StepModel = { ...MODEL, ranks: 129, slots: 4 };
-  const most = STREAM_LIMIT.mostSlotShare * model.slots * model.ranks;
-  const limit = new StreamLimit();
-  assert.ok(limit.streams(ALLOWED_MS, model) <= most);
+  const max = DEFAULT_STREAM_LIMIT_OPTIONS.maxSlotShare * model.slots * model.ranks;
+  const estimator = new StreamLimit();
+  assert.ok(estimator.streams(ALLOWED_MS, model) <= max);
   for (let atMs = 0; atMs < 6000; atMs += 50) {
-    limit.notePause(20 * ALLOWED_MS, 300, model, atMs);
-    assert.ok(limit.streams(ALLOWED_MS, model) <= most);
+    estimator.notePause(20 * ALLOWED_MS, 300, model, atMs);
+    assert.ok(estimator.streams(ALLOWED_MS, model) <= max);
   }
 });
