--- a/src/core/admission/admission.ts
+++ b/src/core/admission/admission.ts
@@ -1,6 +1,7 @@
 /**
- * Admission at one entry: weighted shares per organisation with no shared counter, deadlines, and
- * the order of sacrifice of an event. A refusal is given at once and says when to come back.
+ * Admission control at one entry: weighted rate shares per organisation without a shared counter,
+ * deadlines, and load shedding during events in the order of their `sacrifice` list. Refusals are
+ * immediate and carry a Retry-After.
  */
 import type {
   ConfigurationBody,
@@ -10,45 +11,47 @@
 import { notRun, type HarriergladeError } from '../errors/index.js';
 import {
   BORROW_BELOW_PRESSURE,
-  BORROW_FACTOR,
+  MAX_BORROWED_BURSTS,
   BURST_SECONDS,
   SACRIFICE_FROM_PRESSURE,
   USAGE_HALF_LIFE_MS,
 } from './consts.js';
 
-/** One request as admission sees it. */
+/** The properties of a request that admission depends on. */
 export interface AdmissionRequest {
   readonly organisation: string;
-  /** The model or service asked for. */
+  /** The requested model or service. */
   readonly target: string;
-  /** Estimated tokens, prompt and answer. */
+  /** Estimated tokens of prompt and answer together. */
   readonly tokens: number;
-  /** Predicted time to the whole answer, ms. */
+  /** Predicted time to the end of the answer, ms. */
   readonly predictedMs: number;
-  /** Part of the prediction that is waiting, ms. */
+  /** Part of the predicted time spent waiting, ms. */
   readonly waitMs: number;
-  /** Time left to the caller, ms. */
+  /** Time until the deadline, ms. */
   readonly deadlineMs: number;
-  /** 0 to 9; higher goes first. */
+  /** 0 to 9; a higher value has more priority. */
   readonly priority: number;
 }
 
 interface Usage {
-  /** Tokens left in the bucket. */
-  bucket: number;
-  /** Tokens admitted, decayed by half each half-life. */
-  recent: number;
-  atMs: number;
+  /** Tokens left in the bucket; negative after borrowing. */
+  tokens: number;
+  /** Admitted tokens, with exponential decay. */
+  recentTokens: number;
+  updatedAtMs: number;
 }
 
-/** How full the deployment is for a request: the share of its deadline that goes into waiting. */
+/**
+ * Load pressure on a request: the share of its remaining time that it would spend waiting, 0 to 1.
+ */
 export function pressureOf(req: AdmissionRequest): number {
   if (req.deadlineMs <= 0) return 1;
   return Math.min(1, Math.max(0, req.waitMs / req.deadlineMs));
 }
 
-/** Share of a record of use that still counts after a time, ms. */
-function keptAfter(elapsedMs: number): number {
+/** Factor by which recorded usage decays over a time. */
+function decayFactor(elapsedMs: number): number {
   return 0.5 ** (Math.max(0, elapsedMs) / USAGE_HALF_LIFE_MS);
 }
 
@@ -59,23 +62,24 @@
 }
 
 /**
- * Pressure from which a request is given up for an event: the first in the order goes first.
- * Undefined when nothing of the request is on the list.
+ * Pressure from which a request is shed during an event; lowest for the first entry of the event's
+ * `sacrifice` list. Undefined if the list has neither the organisation nor the target of the
+ * request.
  */
 export function sacrificeThreshold(event: EventConfig, req: AdmissionRequest): number | undefined {
-  const at = event.sacrifice.findIndex((id) => id === req.organisation || id === req.target);
-  if (at < 0) return undefined;
+  const index = event.sacrifice.findIndex((id) => id === req.organisation || id === req.target);
+  if (index < 0) return undefined;
   const step = (1 - SACRIFICE_FROM_PRESSURE) / event.sacrifice.length;
-  return SACRIFICE_FROM_PRESSURE + at * step;
+  return SACRIFICE_FROM_PRESSURE + index * step;
 }
 
-/** Decides who gets in. Times are monotonic ms but for `wallMs`. */
+/** Admission control of one entry. Times are monotonic ms except `wallMs`. */
 export class Admission {
   private readonly usage = new Map<string, Usage>();
 
   /**
-   * Admits (undefined) or refuses at once.
-   * @example const refused = admission.admit(req, organisation, body, entries, nowMs, wallMs);
+   * Returns undefined if a request is admitted, otherwise the refusal.
+   * @example const refusal = admission.admit(req, organisation, body, entries, nowMs, wallMs);
    */
   admit(
     req: AdmissionRequest,
@@ -85,27 +89,28 @@
     nowMs: number,
     wallMs: number,
   ): HarriergladeError | undefined {
-    const late = this.refuseLate(req);
-    if (late) return late;
+    const lateRefusal = this.refuseIfLate(req);
+    if (lateRefusal) return lateRefusal;
     const pressure = pressureOf(req);
-    const given = this.refuseSacrificed(req, body, pressure, wallMs);
-    if (given) return given;
-    return this.refuseOverShare(req, organisation, body, liveEntries, pressure, nowMs);
+    const sacrificeRefusal = this.refuseIfSacrificed(req, body, pressure, wallMs);
+    if (sacrificeRefusal) return sacrificeRefusal;
+    return this.refuseIfOverShare(req, organisation, body, liveEntries, pressure, nowMs);
   }
 
-  /** Organisations with a record here. */
+  /** Number of organisations with recorded usage. */
   get size(): number {
     return this.usage.size;
   }
 
-  private refuseLate(req: AdmissionRequest): HarriergladeError | undefined {
-    if (req.deadlineMs <= 0) return notRun('deadline-passed', 'No time was left on arrival.');
+  private refuseIfLate(req: AdmissionRequest): HarriergladeError | undefined {
+    if (req.deadlineMs <= 0)
+      return notRun('deadline-passed', 'The deadline had passed when the request arrived.');
     if (req.predictedMs <= req.deadlineMs) return undefined;
-    const facts = `It would take about ${Math.round(req.predictedMs)} ms and ${Math.round(req.deadlineMs)} ms are left.`;
-    return notRun('deadline-unreachable', facts, Math.max(1, Math.ceil(req.waitMs / 1000)));
+    const detail = `The answer would take about ${Math.round(req.predictedMs)} ms, but the deadline is in ${Math.round(req.deadlineMs)} ms.`;
+    return notRun('deadline-unreachable', detail, Math.max(1, Math.ceil(req.waitMs / 1000)));
   }
 
-  private refuseSacrificed(
+  private refuseIfSacrificed(
     req: AdmissionRequest,
     body: ConfigurationBody,
     pressure: number,
@@ -115,12 +120,16 @@
       const threshold = sacrificeThreshold(event, req);
       if (threshold === undefined || pressure < threshold) continue;
       const leftS = Math.ceil((event.startMs + event.durationMs - wallMs) / 1000);
-      return notRun('sacrificed', `Event ${event.id} needs the capacity.`, Math.max(1, leftS));
+      return notRun(
+        'sacrificed',
+        `The capacity is reserved for event ${event.id}.`,
+        Math.max(1, leftS),
+      );
     }
     return undefined;
   }
 
-  private refuseOverShare(
+  private refuseIfOverShare(
     req: AdmissionRequest,
     organisation: OrganisationConfig,
     body: ConfigurationBody,
@@ -130,55 +139,61 @@
   ): HarriergladeError | undefined {
     const rate = organisation.tokensPerSecond / Math.max(1, liveEntries);
     const usage = this.refill(organisation.id, rate, nowMs);
-    const busy = pressure >= BORROW_BELOW_PRESSURE * (1 + req.priority / 10);
-    if (usage.bucket >= req.tokens || !busy) {
-      // What is borrowed while there is room is paid back later, down to a bound.
-      usage.bucket = Math.max(usage.bucket - req.tokens, -rate * BURST_SECONDS * BORROW_FACTOR);
-      usage.recent += req.tokens;
+    const isUnderPressure = pressure >= BORROW_BELOW_PRESSURE * (1 + req.priority / 10);
+    if (usage.tokens >= req.tokens || !isUnderPressure) {
+      // Tokens borrowed while pressure is low are repaid later; the debt is bounded.
+      usage.tokens = Math.max(
+        usage.tokens - req.tokens,
+        -rate * BURST_SECONDS * MAX_BORROWED_BURSTS,
+      );
+      usage.recentTokens += req.tokens;
       return undefined;
     }
-    if (busy && this.underFairShare(organisation, body, usage)) {
-      usage.recent += req.tokens;
+    if (isUnderPressure && this.isUnderFairShare(organisation, body, usage)) {
+      usage.recentTokens += req.tokens;
       return undefined;
     }
-    const waitS = Math.max(1, Math.ceil((req.tokens - usage.bucket) / rate));
+    const waitS = Math.max(1, Math.ceil((req.tokens - usage.tokens) / rate));
     return notRun(
       'share-exceeded',
-      `Organisation ${organisation.id} used its share of ${Math.round(rate)} tokens/s at this entry.`,
+      `Organisation ${organisation.id} exceeded its share of ${Math.round(rate)} tokens/s at this entry.`,
       waitS,
     );
   }
 
-  /** Whether an organisation used less than its weight's part of what was admitted lately. */
-  private underFairShare(
+  /**
+   * Whether an organisation used less of the recently admitted tokens than its weight entitles it
+   * to.
+   */
+  private isUnderFairShare(
     organisation: OrganisationConfig,
     body: ConfigurationBody,
     usage: Usage,
   ): boolean {
-    // Old records of the others weigh less by now; the own one was decayed on refill.
+    // Decays the usage of the others to now; this organisation's own was decayed on refill.
     let recent = 0;
     let weight = 0;
     for (const other of body.organisations) {
-      const theirs = this.usage.get(other.id);
-      if (!theirs || theirs.recent < 1) continue;
-      recent += theirs.recent * keptAfter(usage.atMs - theirs.atMs);
+      const otherUsage = this.usage.get(other.id);
+      if (!otherUsage || otherUsage.recentTokens < 1) continue;
+      recent += otherUsage.recentTokens * decayFactor(usage.updatedAtMs - otherUsage.updatedAtMs);
       weight += other.weight;
     }
     if (weight === 0) return true;
-    return usage.recent / Math.max(recent, 1) < organisation.weight / weight;
+    return usage.recentTokens / Math.max(recent, 1) < organisation.weight / weight;
   }
 
   private refill(id: string, rate: number, nowMs: number): Usage {
     const known = this.usage.get(id);
     if (!known) {
-      const fresh = { bucket: rate * BURST_SECONDS, recent: 0, atMs: nowMs };
+      const fresh = { tokens: rate * BURST_SECONDS, recentTokens: 0, updatedAtMs: nowMs };
       this.usage.set(id, fresh);
       return fresh;
     }
-    const elapsedMs = Math.max(0, nowMs - known.atMs);
-    known.bucket = Math.min(rate * BURST_SECONDS, known.bucket + (rate * elapsedMs) / 1000);
-    known.recent *= keptAfter(elapsedMs);
-    known.atMs = nowMs;
+    const elapsedMs = Math.max(0, nowMs - known.updatedAtMs);
+    known.tokens = Math.min(rate * BURST_SECONDS, known.tokens + (rate * elapsedMs) / 1000);
+    known.recentTokens *= decayFactor(elapsedMs);
+    known.updatedAtMs = nowMs;
     return known;
   }
 }
--- a/src/core/admission/consts.ts
+++ b/src/core/admission/consts.ts
@@ -1,12 +1,12 @@
-/** Constants of admission. */
+/** Constants of admission control. */
 
-/** Seconds of its rate that an organisation may use at once. */
+/** Burst capacity of an organisation, in seconds of its rate. */
 export const BURST_SECONDS = 2;
-/** Below this pressure an organisation may go beyond its share. */
+/** Pressure below which an organisation may exceed its share. */
 export const BORROW_BELOW_PRESSURE = 0.25;
-/** Pressure from which the first in an event's order of sacrifice is given up. */
+/** Pressure from which the first entry of an event's `sacrifice` list is shed. */
 export const SACRIFICE_FROM_PRESSURE = 0.3;
-/** Half-life of the record of what an organisation used, ms. */
+/** Half-life of the recorded usage of an organisation, ms. */
 export const USAGE_HALF_LIFE_MS = 5000;
-/** How many bursts deep an organisation may borrow while there is room. */
-export const BORROW_FACTOR = 4;
+/** Maximum debt of an organisation that exceeds its share, in bursts. */
+export const MAX_BORROWED_BURSTS = 4;
--- a/src/core/crashes/evidence.ts
+++ b/src/core/crashes/evidence.ts
@@ -1,6 +1,7 @@
 /**
- * Which requests were beginning to run on endpoints that fell. Entries put together what each of them saw; evidence only grows
- * and lapses, so that it may be told in any order and more than once, without a coordinator.
+ * Tracks which requests had just started on endpoints that crashed, to stop retrying those that
+ * cause the crashes. Entries merge their observations; evidence only grows and expires, so updates
+ * may be merged in any order and more than once, without a coordinator.
  */
 import type { Clock } from '../clock/index.js';
 import type { EndpointId } from '../ids/index.js';
@@ -9,21 +10,27 @@
 import type { Fingerprint } from './fingerprint.js';
 
 /**
- * Crashes after which a request is sent to no endpoint any more. After one of them it is any of those that ran there, up to
- * seven; the same one again on another process of an endpoint, before any answer, is hardly chance.
+ * Crashes after which a request is refused. One crash may be due to any of the up to seven requests
+ * that ran there; if the same request is starting again when another process crashes, chance is
+ * unlikely.
  */
 const CRASHES_TO_REFUSE = 2;
 /**
- * Time for which evidence counts, ms: one that goes on coming costs two crashes in so long. Who was refused wrongly is not
- * for longer.
+ * Time for which evidence is valid, ms. A request that is repeated forever costs two crashes per
+ * period; one that is refused wrongly is not refused for longer than that.
  */
-const EVIDENCE_MS = 300_000;
-/** Crashes of one endpoint that are closer are the same one, seen by several entries, ms: it is back after some seconds. */
-const SAME_CRASH_MS = 1000;
-/** Requests that are remembered: as many as run on 18 engines of 7 slots when all of them fall at once. */
-const MOST_SUSPECTS = 128;
-/** Crashes that are remembered of each. */
-const MOST_CRASHES = 4;
+const EVIDENCE_TTL_MS = 300_000;
+/**
+ * Crashes of one endpoint within this time are one crash seen by several entries, ms: a restart
+ * takes some seconds.
+ */
+const SAME_CRASH_WINDOW_MS = 1000;
+/**
+ * Maximum number of suspects; 18 engines of 7 slots that crash at once have about as many requests
+ * in flight.
+ */
+const MAX_SUSPECTS = 128;
+const MAX_CRASHES_PER_SUSPECT = 4;
 
 interface Crash {
   readonly endpoint: EndpointId;
@@ -32,13 +39,13 @@
 
 interface Suspect {
   readonly crashes: Crash[];
-  /** When it was seen to run to a good end. */
+  /** When it last completed successfully. */
   clearedAtMs: number;
   /** Version at which this last changed. */
   version: number;
 }
 
-/** What one entry knows, with what others told it. Times are those of its clock, ms. */
+/** Crash evidence of one entry, merged with that of others. Times are those of its clock, ms. */
 export class CrashEvidence {
   private readonly suspects = new Map<Fingerprint, Suspect>();
   private changes = 0;
@@ -50,58 +57,63 @@
     return this.changes;
   }
 
-  /** Whether nobody is suspected, so that no request needs to be looked at. */
+  /** Whether there are no suspects, in which case requests need not be fingerprinted. */
   get isEmpty(): boolean {
     return this.suspects.size === 0;
   }
 
   /**
-   * Whether a request is sent to no endpoint any more.
+   * Whether a request is refused because endpoints crashed when it started.
    * @example if (evidence.isRefused(fingerprintOf(contents))) return refuse();
    */
   isRefused(fingerprint: Fingerprint): boolean {
     const suspect = this.suspects.get(fingerprint);
-    if (!suspect || this.counts(suspect.clearedAtMs)) return false;
-    const counting = suspect.crashes.filter(({ atMs }) => this.counts(atMs));
-    return counting.length >= CRASHES_TO_REFUSE;
+    if (!suspect || this.isCurrent(suspect.clearedAtMs)) return false;
+    const current = suspect.crashes.filter(({ atMs }) => this.isCurrent(atMs));
+    return current.length >= CRASHES_TO_REFUSE;
   }
 
-  private counts(atMs: number): boolean {
-    return this.clock.nowMs() - atMs < EVIDENCE_MS;
+  private isCurrent(atMs: number): boolean {
+    return this.clock.nowMs() - atMs < EVIDENCE_TTL_MS;
   }
 
-  /** Notes that an endpoint fell as a request began to run there, `agoMs` ago; false when that was known. */
+  /**
+   * Notes that an endpoint crashed `agoMs` ago as a request started there; false if that crash was
+   * already known.
+   */
   noteCrash(fingerprint: Fingerprint, endpoint: EndpointId, agoMs = 0): boolean {
     const atMs = this.clock.nowMs() - agoMs;
     const { crashes } = this.suspects.get(fingerprint) ?? { crashes: [] };
     const isKnown = crashes.some(
-      (crash) => crash.endpoint === endpoint && Math.abs(crash.atMs - atMs) < SAME_CRASH_MS,
+      (crash) => crash.endpoint === endpoint && Math.abs(crash.atMs - atMs) < SAME_CRASH_WINDOW_MS,
     );
-    if (isKnown || crashes.length >= MOST_CRASHES) return false;
-    this.changed(fingerprint).crashes.push({ endpoint, atMs });
-    this.forget();
+    if (isKnown || crashes.length >= MAX_CRASHES_PER_SUSPECT) return false;
+    this.touch(fingerprint).crashes.push({ endpoint, atMs });
+    this.evict();
     return true;
   }
 
   /**
-   * Notes that a request ran to a good end `agoMs` ago: whatever fell while it ran there fell by something else. False when
-   * nothing was held against it, or as much was known.
+   * Notes that a request completed successfully `agoMs` ago, so other causes are behind the crashes
+   * it was suspected of. False if it was not suspected, or was cleared recently.
    */
   noteGoodEnd(fingerprint: Fingerprint, agoMs = 0): boolean {
     const atMs = this.clock.nowMs() - agoMs;
     const suspect = this.suspects.get(fingerprint);
-    if (!suspect || atMs < suspect.clearedAtMs + EVIDENCE_MS / 2) return false;
-    this.changed(fingerprint).clearedAtMs = atMs;
+    if (!suspect || atMs < suspect.clearedAtMs + EVIDENCE_TTL_MS / 2) return false;
+    this.touch(fingerprint).clearedAtMs = atMs;
     return true;
   }
 
-  /** What has changed since a version, for others. */
+  /** Changes after a version, as a message to other entries. */
   newsSince(version: number): CrashNews {
     const changed = [...this.suspects].filter(([, suspect]) => suspect.version > version);
-    return { suspects: changed.map(([fingerprint, suspect]) => this.told(fingerprint, suspect)) };
+    return {
+      suspects: changed.map(([fingerprint, suspect]) => this.toMessage(fingerprint, suspect)),
+    };
   }
 
-  private told(fingerprint: Fingerprint, { crashes, clearedAtMs }: Suspect): CrashSuspect {
+  private toMessage(fingerprint: Fingerprint, { crashes, clearedAtMs }: Suspect): CrashSuspect {
     const nowMs = this.clock.nowMs();
     const agoMs = (atMs: number): number => Math.max(0, Math.round(nowMs - atMs));
     return {
@@ -112,21 +124,22 @@
   }
 
   /**
-   * Takes what another entry told; whether any of it was new.
-   * @example if (evidence.take(news)) relay.wake();
+   * Merges the update of another entry; true if anything changed.
+   * @example if (evidence.merge(update)) relay.wake();
    */
   take({ suspects }: CrashNews): boolean {
     const before = this.changes;
     for (const { fingerprint: text, crashes, clearedAgoMs } of suspects) {
       const fingerprint = asId<Fingerprint>(text);
       for (const { endpoint, agoMs } of crashes)
-        if (agoMs < EVIDENCE_MS) this.noteCrash(fingerprint, asId<EndpointId>(endpoint), agoMs);
+        if (agoMs < EVIDENCE_TTL_MS) this.noteCrash(fingerprint, asId<EndpointId>(endpoint), agoMs);
       if (clearedAgoMs !== undefined) this.noteGoodEnd(fingerprint, clearedAgoMs);
     }
     return this.changes > before;
   }
 
-  private changed(fingerprint: Fingerprint): Suspect {
+  /** Returns the record of a request, added if missing, and marks it as changed. */
+  private touch(fingerprint: Fingerprint): Suspect {
     const suspect = this.suspects.get(fingerprint) ?? {
       crashes: [],
       clearedAtMs: Number.NEGATIVE_INFINITY,
@@ -138,14 +151,17 @@
     return suspect;
   }
 
-  /** Drops what has lapsed, and of too many first those with the least against them, the oldest of them first. */
-  private forget(): void {
+  /**
+   * Drops expired suspects, and one more if there are too many: the oldest with too few crashes to
+   * be refused, if any.
+   */
+  private evict(): void {
     for (const [fingerprint, { crashes }] of this.suspects)
-      if (!crashes.some(({ atMs }) => this.counts(atMs))) this.suspects.delete(fingerprint);
-    if (this.suspects.size <= MOST_SUSPECTS) return;
+      if (!crashes.some(({ atMs }) => this.isCurrent(atMs))) this.suspects.delete(fingerprint);
+    if (this.suspects.size <= MAX_SUSPECTS) return;
     const all = [...this.suspects];
-    const [least] =
+    const [evicted] =
       all.find(([, { crashes }]) => crashes.length < CRASHES_TO_REFUSE) ?? all[0] ?? [];
-    if (least !== undefined) this.suspects.delete(least);
+    if (evicted !== undefined) this.suspects.delete(evicted);
   }
 }
--- a/src/core/limits/outage-detector.ts
+++ b/src/core/limits/outage-detector.ts
@@ -1,21 +1,24 @@
 /**
- * Detects that no endpoint of a service works, for example after its group lost a rank. During an outage requests are
- * refused at once with a Retry-After, and single requests are let through to probe for its end.
+ * Detects that no endpoint of a service works, for example after its group lost a rank. During an
+ * outage requests are refused at once with a Retry-After, and single requests are let through to
+ * probe for its end.
  */
 
 /** Settings of the outage detector. */
 export interface OutageOptions {
   /** Consecutive failures, on any endpoints, that make an outage. */
-  readonly minFailures: number;
+  readonly failures: number;
   /** Minimum time between the first of these failures and the start of the outage, ms. */
   readonly minDurationMs: number;
   /** Minimum time between two requests let through during an outage, ms. */
   readonly probeIntervalMs: number;
 }
 
-/** A group with a crashed rank stalls for 1.5 s, and then all of its ranks refuse requests at once. */
+/**
+ * A group with a crashed rank stalls for 1.5 s, and then all of its ranks refuse requests at once.
+ */
 export const DEFAULT_OUTAGE_OPTIONS: OutageOptions = {
-  minFailures: 4,
+  failures: 4,
   minDurationMs: 200,
   probeIntervalMs: 200,
 };
@@ -41,10 +44,8 @@
 
   /** Whether there is an outage. */
   isOut(nowMs: number): boolean {
-    const { minFailures, minDurationMs } = this.options;
-    return (
-      this.consecutiveFailures >= minFailures && nowMs - this.firstFailureAtMs >= minDurationMs
-    );
+    const { failures, minDurationMs } = this.options;
+    return this.consecutiveFailures >= failures && nowMs - this.firstFailureAtMs >= minDurationMs;
   }
 
   /** Time since the first of the consecutive failures, ms; 0 without an outage. */
--- a/src/core/limits/queue-terms.ts
+++ b/src/core/limits/queue-terms.ts
@@ -1,10 +1,11 @@
 /**
  * Order and maximum wait of a caller in the admission queue of a full group.
  *
- * Latency counts from a caller's first try. A first try that gets a slot in time earns the full value of its request;
- * a returning caller is late in any case and earns a part of it. If returning callers went first, each would take the
- * slot of a first try, which is refused and returns in turn: after one overload everyone is served late until load
- * falls. First tries first earn a mean value of 0.82 per simulated caller, returning callers first 0.57.
+ * Latency counts from a caller's first try. A first try that gets a slot in time earns the full
+ * value of its request; a returning caller is late in any case and earns a part of it. If returning
+ * callers went first, each would take the slot of a first try, which is refused and returns in
+ * turn: after one overload everyone is served late until load falls. First tries first earn a mean
+ * value of 0.82 per simulated caller, returning callers first 0.57.
  */
 
 /** A caller that waits for a slot. */
@@ -27,12 +28,15 @@
   readonly waitMs: number;
 }
 
-/** Added to the order of returning callers, so that they go behind first tries; exceeds every priority. */
+/**
+ * Added to the order of returning callers, so that they go behind first tries; exceeds every
+ * priority.
+ */
 const RETURNING_ORDER_OFFSET = 100;
 
 /**
- * Part of the latency target for which a first try may wait. One that has no slot by then is refused while
- * it still has time to try elsewhere.
+ * Part of the latency target for which a first try may wait. One that has no slot by then is
+ * refused while it still has time to try elsewhere.
  */
 const FIRST_TRY_TARGET_SHARE = 0.125;
 /** The same for a returning caller, which is late already and for which another refusal is final. */
--- a/src/core/limits/slot-queue.ts
+++ b/src/core/limits/slot-queue.ts
@@ -1,8 +1,12 @@
-/** Admission queue for a limited number of slots; a request that cannot get one in time is refused at once. */
+/**
+ * Admission queue for a limited number of slots; a request that cannot get one in time is refused
+ * at once.
+ */
 
 /**
- * Maximum number of waiting requests ahead of a new one, as a share of the slots. About as many slots come free in a
- * tenth of a second; most of a longer queue would wait in vain. Requests with a higher order do not count.
+ * Maximum number of waiting requests ahead of a new one, as a share of the slots. About as many
+ * slots come free in a tenth of a second; most of a longer queue would wait in vain. Requests with
+ * a higher order do not count.
  */
 const MAX_AHEAD_SHARE = 0.25;
 
@@ -55,7 +59,8 @@
   }
 
   /**
-   * Takes a slot without waiting; false if none is free. With `force` it exceeds the capacity if need be.
+   * Takes a slot without waiting; false if none is free. With `force` it exceeds the capacity if
+   * need be.
    * @example if (queue.tryAcquire(false)) proceed();
    */
   takeNow(force: boolean): boolean {
--- a/src/core/limits/stream-count-history.ts
+++ b/src/core/limits/stream-count-history.ts
@@ -1,8 +1,12 @@
-/** Recent stream counts of an entry, to compare with a count of the whole group that is equally old. */
+/**
+ * Recent stream counts of an entry, to compare with a count of the whole group that is equally old.
+ */
 
 /** Time for which counts are kept, ms; a count of the group is used for up to 3 s. */
 const RETENTION_MS = 4000;
-/** Changes within this time are stored as one sample, ms, which keeps at most a few hundred samples. */
+/**
+ * Changes within this time are stored as one sample, ms, which keeps at most a few hundred samples.
+ */
 const RESOLUTION_MS = 20;
 
 interface Sample {
--- a/src/core/limits/stream-limit-estimator.ts
+++ b/src/core/limits/stream-limit-estimator.ts
@@ -1,9 +1,10 @@
 /**
- * Estimates how many concurrent streams a group of engines can run. All ranks of a group advance in lock-step, so all
- * streams pause alike, and one step that takes too long makes every stream late. The limit keeps pauses within the
- * allowed time at the recent slow steps, except for about the slowest third: those follow a shift of demand, and a
- * limit that kept them in time would refuse more callers than they make late. Each entry estimates it from its own
- * streams, without a shared counter (figures in docs/DECISIONS.md).
+ * Estimates how many concurrent streams a group of engines can run. All ranks of a group advance in
+ * lock-step, so all streams pause alike, and one step that takes too long makes every stream late.
+ * The limit keeps pauses within the allowed time at the recent slow steps, except for about the
+ * slowest third: those follow a shift of demand, and a limit that kept them in time would refuse
+ * more callers than they make late. Each entry estimates it from its own streams, without a shared
+ * counter (figures in docs/DECISIONS.md).
  */
 
 /** Duration of a token step, as published by the endpoints. */
@@ -19,20 +20,24 @@
 
 /** Settings of the estimator. */
 export interface StreamLimitOptions {
-  /** Streams per rank before any pauses are observed; the first expert map is the worst one for any demand. */
+  /**
+   * Streams per rank before any pauses are observed; the first expert map is the worst one for any
+   * demand.
+   */
   readonly initialPerRank: number;
   /** Streams per rank if no limit would keep pauses in time. */
   readonly fallbackPerRank: number;
   /**
-   * Streams per rank below which a limit is not worth it: most of a step's time does not depend on its streams,
-   * so fewer streams barely speed it up but refuse many more callers.
+   * Streams per rank below which a limit is not worth it: most of a step's time does not depend on
+   * its streams, so fewer streams barely speed it up but refuse many more callers.
    */
   readonly minPerRank: number;
   /**
-   * Part of a rank's slots that the limit may use. Loads of ranks differ by chance, and requests to a rank whose slots
-   * are all taken wait. With all slots, three groups of 24 ranks ran 1.0 to 1.6 times as many streams as they had slots,
-   * four of ten streams were late, and steps of twice the duration kept it so. It also bounds `fallbackPerRank`, which
-   * gave 129 ranks of 4 slots 581 streams, 65 more than their slots, whenever steps were slow.
+   * Part of a rank's slots that the limit may use. Loads of ranks differ by chance, and requests to
+   * a rank whose slots are all taken wait. With all slots, three groups of 24 ranks ran 1.0 to 1.6
+   * times as many streams as they had slots, four of ten streams were late, and steps of twice the
+   * duration kept it so. It also bounds `fallbackPerRank`, which gave 129 ranks of 4 slots 581
+   * streams, 65 more than their slots, whenever steps were slow.
    */
   readonly maxSlotShare: number;
   /** Part of the allowed pause that the slowest steps may take. */
@@ -41,13 +46,17 @@
   readonly windowMs: number;
   /** Number of recent windows considered. */
   readonly maxWindows: number;
-  /** Number of slowest windows ignored: steps after a shift of demand, or while the group was briefly stalled. */
+  /**
+   * Number of slowest windows ignored: steps after a shift of demand, or while the group was
+   * briefly stalled.
+   */
   readonly ignoredWindows: number;
 }
 
 /**
- * Demand shifts about every 4 s; the 5 s considered hold one or two shifts, each slow for three or four windows. On five
- * days with faults the mean value per caller was 0.459 and 0.490 with one window ignored, 0.495 with seven.
+ * Demand shifts about every 4 s; the 5 s considered hold one or two shifts, each slow for three or
+ * four windows. On five days with faults the mean value per caller was 0.459 and 0.490 with one
+ * window ignored, 0.495 with seven.
  */
 export const DEFAULT_STREAM_LIMIT_OPTIONS: StreamLimitOptions = {
   initialPerRank: 3,
@@ -131,21 +140,22 @@
 }
 
 /**
- * Streams of an entry times the age of the count in seconds at which half of a change in them is attributed to the whole
- * group and half to chance. Chance is about the square root of the streams that began and ended; a group changes by a
- * third within a second.
+ * Streams of an entry times the age of the count in seconds at which half of a change in them is
+ * attributed to the whole group and half to chance. Chance is about the square root of the streams
+ * that began and ended; a group changes by a third within a second.
  */
 const HALF_WEIGHT_STREAM_SECONDS = 10;
 
 /**
- * Estimates the streams that a group runs now from an older count: the other entries are assumed to have changed like
- * this one since, except for what may be chance.
+ * Estimates the streams that a group runs now from an older count: the other entries are assumed to
+ * have changed like this one since, except for what may be chance.
  *
- * A count is up to 2 s old. When slots were based on it and on the entry's current streams, they grew with each stream
- * admitted: entries that knew of 34 streams gave out 2,045 slots at a limit of 331, refused everyone 2 s later, and the
- * group oscillated between 125 and 477 streams. With a count every 1.2 s, 0.02 of simulated callers are refused while
- * the group has room, 0.23 before. Using only the entry's streams at the time of the count would refuse 0.10 of the
- * callers of a group that is 0.7 full, since an entry that has few streams by chance keeps few slots.
+ * A count is up to 2 s old. When slots were based on it and on the entry's current streams, they
+ * grew with each stream admitted: entries that knew of 34 streams gave out 2,045 slots at a limit
+ * of 331, refused everyone 2 s later, and the group oscillated between 125 and 477 streams. With a
+ * count every 1.2 s, 0.02 of simulated callers are refused while the group has room, 0.23 before.
+ * Using only the entry's streams at the time of the count would refuse 0.10 of the callers of a
+ * group that is 0.7 full, since an entry that has few streams by chance keeps few slots.
  * @example estimateInFlight({ inFlight: 200, ageMs: 1000, ownAtCount: 5, ownNow: 8, entries: 40 }) // 253
  */
 export function runningNow({ running, ageMs, ownThen, own, entries }: GroupCount): number {
@@ -164,14 +174,16 @@
   readonly limit: number;
 }
 
-/** Part of the limit that is split evenly among entries; the rest is split by their current streams. */
+/**
+ * Part of the limit that is split evenly among entries; the rest is split by their current streams.
+ */
 const EVEN_SPLIT_SHARE = 0.25;
 /** Slots that an entry has however full the group is, so that it can start at all. */
 const MIN_SLOTS = 2;
 
 /**
- * Part of the free slots that is handed out at once. Counts are 0.3 s late and all entries see the same free slots;
- * with all of them handed out, groups ran 1.4 times their limit.
+ * Part of the free slots that is handed out at once. Counts are 0.3 s late and all entries see the
+ * same free slots; with all of them handed out, groups ran 1.4 times their limit.
  */
 const FREE_SLOTS_SHARE = 0.5;
 
--- a/src/core/retry/retry.ts
+++ b/src/core/retry/retry.ts
@@ -1,48 +1,53 @@
-/** Retry budget: retries are a share of first attempts, so that a fault does not become a storm. */
+/**
+ * Retry budget: limits retries to a share of first attempts, which prevents a retry storm during a
+ * fault.
+ */
 import type { Clock } from '../clock/index.js';
-import { WindowCount } from './window-count.js';
+import { SlidingWindowCounter } from './sliding-window-counter.js';
 
-/** What a budget allows. */
-export interface RetryTerms {
+/** Options of a retry budget. */
+export interface RetryBudgetOptions {
   readonly clock: Pick<Clock, 'nowMs'>;
-  /** Time over which retries are allowed together, ms. */
+  /** Length of the sliding window, ms. */
   readonly windowMs: number;
-  /** Retries allowed for each first attempt, 0 to 1; it may change. */
+  /** Retries allowed per first attempt, 0 to 1; evaluated at each decision. */
   readonly share: () => number;
-  /** Retries allowed besides within a window; it may change. */
+  /** Additional retries allowed within a window; evaluated at each decision. */
   readonly extra: () => number;
 }
 
 /**
- * Budget of one set of endpoints: within any window no more retries than a share of its first attempts, and some besides.
+ * Budget of one set of endpoints: within any window, retries are limited to a share of the first
+ * attempts plus `extra`.
  *
- * What was allowed and not used in the last window may be used at once: a group that stands still fails all of its streams in
- * the same second. Where only the extra ones could be taken at once, 128 of 270 streams of a group of 24 ranks behind a frozen
- * instance were not tried elsewhere, all at the 14 entries nearest to it, though the users allow 594 retries in ten seconds; an entry with 4.3 requests a
- * second may take 10 at once in place of 4 (retry.test).
+ * Retries that were allowed and not used in the last window may be used at once, since a stalled
+ * group fails all of its streams within a second. With only the extra retries available at once,
+ * 128 of 270 streams of a group of 24 ranks behind a frozen instance were not retried, all at the
+ * 14 entries nearest to it, although 594 retries in 10 s were allowed. With the unused ones, an
+ * entry with 4.3 requests/s may retry 10 at once instead of 4.
  */
 export class RetryBudget {
-  private readonly firsts: WindowCount;
-  private readonly retries: WindowCount;
+  private readonly firstAttempts: SlidingWindowCounter;
+  private readonly retries: SlidingWindowCounter;
 
-  constructor(private readonly terms: RetryTerms) {
-    this.firsts = new WindowCount(terms.clock, terms.windowMs);
-    this.retries = new WindowCount(terms.clock, terms.windowMs);
+  constructor(private readonly options: RetryBudgetOptions) {
+    this.firstAttempts = new SlidingWindowCounter(options.clock, options.windowMs);
+    this.retries = new SlidingWindowCounter(options.clock, options.windowMs);
   }
 
   /** Notes a first attempt. */
   deposit(): void {
-    this.firsts.add();
+    this.firstAttempts.add();
   }
 
-  /** Whether a retry could be taken now. */
+  /** Whether the budget allows a retry now. */
   canWithdraw(): boolean {
-    const { share, extra } = this.terms;
-    return this.retries.atMost + 1 <= share() * this.firsts.atLeast + extra();
+    const { share, extra } = this.options;
+    return this.retries.upperBound + 1 <= share() * this.firstAttempts.lowerBound + extra();
   }
 
   /**
-   * Takes one retry if the budget has one.
+   * Consumes one retry; false if the budget is exhausted.
    * @example if (!budget.withdraw()) return notRun('retry-budget');
    */
   withdraw(): boolean {
--- a/src/core/retry/sliding-window-counter.ts
+++ b/src/core/retry/sliding-window-counter.ts
@@ -1,45 +1,46 @@
-/** Counts over the last seconds. */
+/** Counts events over the last seconds. */
 import type { Clock } from '../clock/index.js';
 
-/** Parts that a window is counted in: what is told is off by one of them at most. */
-const PARTS = 20;
+/** Buckets per window; counts are off by at most one bucket. */
+const BUCKET_COUNT = 20;
 
-/** How many there were within a window that moves with the time. */
-export class WindowCount {
-  /** Counts by part of the time, the newest last. */
-  private readonly parts: { readonly part: number; count: number }[] = [];
+/** Counts the events of a sliding window. */
+export class SlidingWindowCounter {
+  /** Counts by bucket, the newest last. */
+  private readonly buckets: { readonly index: number; count: number }[] = [];
 
   constructor(
     private readonly clock: Pick<Clock, 'nowMs'>,
     private readonly windowMs: number,
   ) {}
 
-  private get now(): number {
-    return Math.floor((this.clock.nowMs() * PARTS) / this.windowMs);
+  private get currentIndex(): number {
+    return Math.floor((this.clock.nowMs() * BUCKET_COUNT) / this.windowMs);
   }
 
-  /** Counts one more. */
+  /** Counts one event. */
   add(): void {
-    const { now } = this;
-    const last = this.parts.at(-1);
-    if (last?.part === now) last.count += 1;
-    else this.parts.push({ part: now, count: 1 });
-    while ((this.parts[0]?.part ?? now) < now - PARTS) this.parts.shift();
+    const { currentIndex } = this;
+    const last = this.buckets.at(-1);
+    if (last?.index === currentIndex) last.count += 1;
+    else this.buckets.push({ index: currentIndex, count: 1 });
+    while ((this.buckets[0]?.index ?? currentIndex) < currentIndex - BUCKET_COUNT)
+      this.buckets.shift();
   }
 
-  /** Those of the last window, and of up to one part more. */
-  get atMost(): number {
-    return this.since(this.now - PARTS);
+  /** Events of the last window and up to one bucket before it. */
+  get upperBound(): number {
+    return this.sumFrom(this.currentIndex - BUCKET_COUNT);
   }
 
-  /** Those of the last window but for up to one part of it. */
-  get atLeast(): number {
-    return this.since(this.now - PARTS + 1);
+  /** Events of the last window except up to one bucket of it. */
+  get lowerBound(): number {
+    return this.sumFrom(this.currentIndex - BUCKET_COUNT + 1);
   }
 
-  private since(first: number): number {
+  private sumFrom(first: number): number {
     let sum = 0;
-    for (const { part, count } of this.parts) if (part >= first) sum += count;
+    for (const { index, count } of this.buckets) if (index >= first) sum += count;
     return sum;
   }
 }
--- a/src/core/routing/index.ts
+++ b/src/core/routing/index.ts
@@ -1,2 +1,2 @@
 export * from './consts.js';
-export * from './health.js';
+export * from './endpoint-health.js';
--- a/test/core/admission/admission.test.ts
+++ b/test/core/admission/admission.test.ts
@@ -24,7 +24,7 @@
 const [LARGE, SMALL] = ORGANISATIONS as [OrganisationConfig, OrganisationConfig];
 const BODY: ConfigurationBody = { ...EMPTY_BODY, organisations: ORGANISATIONS };
 
-const EASY: AdmissionRequest = {
+const IDLE: AdmissionRequest = {
   organisation: 'small',
   target: 'm',
   tokens: 10,
@@ -33,7 +33,7 @@
   deadlineMs: 1000,
   priority: 5,
 };
-const BUSY: AdmissionRequest = { ...EASY, predictedMs: 900, waitMs: 800 };
+const BUSY: AdmissionRequest = { ...IDLE, predictedMs: 900, waitMs: 800 };
 
 function admit(
   admission: Admission,
@@ -47,35 +47,35 @@
   return admission.admit({ ...req, organisation: who.id }, who, body, entries, nowMs, wallMs);
 }
 
-test('what cannot finish in time is refused at once, with when to come back', () => {
+test('a request that cannot meet its deadline is refused at once with a Retry-After', () => {
   const admission = new Admission();
-  const refused = admit(admission, { ...EASY, predictedMs: 5000, waitMs: 4200 }, SMALL);
+  const refused = admit(admission, { ...IDLE, predictedMs: 5000, waitMs: 4200 }, SMALL);
   assert.deepEqual(
     [refused?.reason, refused?.outcome, refused?.retryAfterS],
     ['deadline-unreachable', 'not-run', 5],
   );
-  assert.equal(admit(admission, { ...EASY, deadlineMs: 0 }, SMALL)?.reason, 'deadline-passed');
+  assert.equal(admit(admission, { ...IDLE, deadlineMs: 0 }, SMALL)?.reason, 'deadline-passed');
 });
 
-test('while there is room an organisation may go beyond its share', () => {
+test('an organisation may exceed its share while pressure is low', () => {
   const admission = new Admission();
-  for (let n = 0; n < 200; n += 1) assert.equal(admit(admission, EASY, SMALL), undefined);
+  for (let n = 0; n < 200; n += 1) assert.equal(admit(admission, IDLE, SMALL), undefined);
 });
 
-test('under pressure whoever used more than its weight is refused, the other is not', () => {
+test('under pressure an organisation that used more than its weight is refused, another is not', () => {
   const admission = new Admission();
-  for (let n = 0; n < 200; n += 1) admit(admission, EASY, SMALL);
-  admit(admission, EASY, LARGE);
-  const greedy = admit(admission, BUSY, SMALL);
-  assert.equal(greedy?.reason, 'share-exceeded');
-  assert.ok((greedy?.retryAfterS ?? 0) >= 1);
+  for (let n = 0; n < 200; n += 1) admit(admission, IDLE, SMALL);
+  admit(admission, IDLE, LARGE);
+  const overShare = admit(admission, BUSY, SMALL);
+  assert.equal(overShare?.reason, 'share-exceeded');
+  assert.ok((overShare?.retryAfterS ?? 0) >= 1);
   assert.equal(admit(admission, BUSY, LARGE), undefined);
 });
 
-test('a share is split over the live entries, with no message', () => {
+test('a share is divided by the number of live entries', () => {
   const admitted = (entries: number): number => {
     const admission = new Admission();
-    admit(admission, EASY, LARGE);
+    admit(admission, IDLE, LARGE);
     let count = 0;
     while (
       count < 1000 &&
@@ -87,10 +87,10 @@
   assert.ok(admitted(4) < admitted(1));
 });
 
-test('a share comes back with time', () => {
+test('a used share refills over time', () => {
   const admission = new Admission();
-  for (let n = 0; n < 200; n += 1) admit(admission, EASY, SMALL);
-  admit(admission, EASY, LARGE);
+  for (let n = 0; n < 200; n += 1) admit(admission, IDLE, SMALL);
+  admit(admission, IDLE, LARGE);
   assert.ok(admit(admission, BUSY, SMALL, BODY, 10));
   assert.equal(admit(admission, BUSY, SMALL, BODY, 60_000), undefined);
 });
@@ -104,29 +104,29 @@
   sacrifice: ['m', 'small'],
 };
 
-test('the order of sacrifice holds within the event only, first named first', () => {
+test('load is shed in the order of the sacrifice list, and during the event only', () => {
   const body = { ...BODY, events: [EVENT] };
-  assert.equal(sacrificeThreshold(EVENT, EASY), SACRIFICE_FROM_PRESSURE);
+  assert.equal(sacrificeThreshold(EVENT, IDLE), SACRIFICE_FROM_PRESSURE);
   assert.ok(
-    (sacrificeThreshold(EVENT, { ...EASY, target: 'other' }) ?? 0) > SACRIFICE_FROM_PRESSURE,
+    (sacrificeThreshold(EVENT, { ...IDLE, target: 'other' }) ?? 0) > SACRIFICE_FROM_PRESSURE,
   );
   assert.equal(
-    sacrificeThreshold(EVENT, { ...EASY, organisation: 'large', target: 'other' }),
+    sacrificeThreshold(EVENT, { ...IDLE, organisation: 'large', target: 'other' }),
     undefined,
   );
-  const pressed = { ...EASY, predictedMs: 500, waitMs: 400 };
-  const inside = admit(new Admission(), pressed, LARGE, body, 0, 5000);
+  const underPressure = { ...IDLE, predictedMs: 500, waitMs: 400 };
+  const inside = admit(new Admission(), underPressure, LARGE, body, 0, 5000);
   assert.deepEqual([inside?.reason, inside?.retryAfterS], ['sacrificed', 6]);
-  assert.equal(admit(new Admission(), pressed, LARGE, body, 0, 20_000), undefined);
+  assert.equal(admit(new Admission(), underPressure, LARGE, body, 0, 20_000), undefined);
   assert.equal(
-    admit(new Admission(), EASY, LARGE, body, 0, 5000),
+    admit(new Admission(), IDLE, LARGE, body, 0, 5000),
     undefined,
-    'nothing is given up while there is room',
+    'nothing is shed while pressure is low',
   );
 });
 
-test('pressure is the share of the deadline that goes into waiting', () => {
-  assert.equal(pressureOf({ ...EASY, waitMs: 250 }), 0.25);
-  assert.equal(pressureOf({ ...EASY, waitMs: 9000 }), 1);
-  assert.equal(pressureOf({ ...EASY, deadlineMs: 0 }), 1);
+test('pressure is the share of the remaining time spent waiting', () => {
+  assert.equal(pressureOf({ ...IDLE, waitMs: 250 }), 0.25);
+  assert.equal(pressureOf({ ...IDLE, waitMs: 9000 }), 1);
+  assert.equal(pressureOf({ ...IDLE, deadlineMs: 0 }), 1);
 });
--- a/test/core/crashes/evidence.test.ts
+++ b/test/core/crashes/evidence.test.ts
@@ -11,7 +11,7 @@
   return new CrashEvidence({ nowMs: () => clock.nowMs });
 }
 
-test('one crash refuses nobody, a second one does, and the same one seen twice is one', () => {
+test('a request is refused after its second crash, and one crash seen twice counts once', () => {
   const clock = { nowMs: 0 };
   const evidence = evidenceAt(clock);
   assert.equal(evidence.noteCrash(P, at('e-1')), true);
@@ -19,21 +19,21 @@
   assert.equal(evidence.noteCrash(P, at('e-1')), false);
   assert.equal(evidence.isRefused(P), false);
   clock.nowMs = 5000;
-  assert.equal(evidence.noteCrash(P, at('e-1')), true, 'the endpoint had started again');
+  assert.equal(evidence.noteCrash(P, at('e-1')), true, 'the endpoint had restarted');
   assert.equal(evidence.isRefused(P), true);
   assert.equal(evidence.isRefused(Q), false);
 });
 
-test('a run to a good end clears a request, before its second crash or after', () => {
+test('a successful run clears a request, before its second crash or after', () => {
   const evidence = evidenceAt({ nowMs: 0 });
-  assert.equal(evidence.noteGoodEnd(P), false, 'nothing is held against it');
+  assert.equal(evidence.noteGoodEnd(P), false, 'it is not suspected');
   for (const endpoint of ['e-1', 'e-2']) evidence.noteCrash(P, at(endpoint));
   assert.equal(evidence.noteGoodEnd(P), true);
   evidence.noteCrash(P, at('e-3'));
   assert.equal(evidence.isRefused(P), false);
 });
 
-test('evidence lapses', () => {
+test('evidence expires', () => {
   const clock = { nowMs: 0 };
   const evidence = evidenceAt(clock);
   for (const endpoint of ['e-1', 'e-2']) evidence.noteCrash(P, at(endpoint));
@@ -43,7 +43,7 @@
   assert.equal(evidence.isRefused(P), false);
 });
 
-test('memory is bounded, and those with the most against them are kept', () => {
+test('the number of suspects is bounded, and those with the most crashes are kept', () => {
   const evidence = evidenceAt({ nowMs: 0 });
   for (const endpoint of ['e-1', 'e-2']) evidence.noteCrash(P, at(endpoint));
   for (let i = 0; i < 500; i += 1) evidence.noteCrash(asId<Fingerprint>(`f-${i}`), at('e-1'));
@@ -51,7 +51,7 @@
   assert.equal(evidence.isRefused(P), true);
 });
 
-test('only what has changed is told', () => {
+test('an update holds only what changed since a version', () => {
   const evidence = evidenceAt({ nowMs: 0 });
   evidence.noteCrash(P, at('e-1'));
   const { version } = evidence;
@@ -63,33 +63,34 @@
   assert.deepEqual(evidence.newsSince(evidence.version).suspects, []);
 });
 
-const SEEN = fc.record({
+const OBSERVATION = fc.record({
   print: fc.constantFrom('p', 'q', 'r'),
   endpoint: fc.constantFrom('e-1', 'e-2', 'e-3'),
   by: fc.nat({ max: 3 }),
   isGood: fc.boolean(),
 });
 
-test('entries that told each other all they saw, in any order and more than once, refuse the same', () => {
+test('entries that exchanged all updates, in any order and more than once, refuse the same requests', () => {
   fc.assert(
     fc.property(
-      fc.array(SEEN, { maxLength: 12 }),
+      fc.array(OBSERVATION, { maxLength: 12 }),
       fc.array(fc.tuple(fc.nat({ max: 3 }), fc.nat({ max: 3 })), { maxLength: 20 }),
-      (seen, order) => {
+      (observations, order) => {
         const clock = { nowMs: 10_000 };
         const entries = Array.from({ length: 4 }, () => evidenceAt(clock));
-        const tell = (from: number, to: number): void => {
-          const news = entries[from]?.newsSince(0);
-          if (news) entries[to]?.take(news);
+        const sendUpdate = (from: number, to: number): void => {
+          const update = entries[from]?.newsSince(0);
+          if (update) entries[to]?.take(update);
         };
-        for (const { print, endpoint, by, isGood } of seen) {
+        for (const { print, endpoint, by, isGood } of observations) {
           const fingerprint = asId<Fingerprint>(print);
           if (isGood) entries[by]?.noteGoodEnd(fingerprint);
           else entries[by]?.noteCrash(fingerprint, at(endpoint));
         }
-        for (const [from, to] of order) tell(from, to);
+        for (const [from, to] of order) sendUpdate(from, to);
         for (let round = 0; round < 3; round += 1)
-          for (let from = 0; from < 4; from += 1) for (let to = 0; to < 4; to += 1) tell(from, to);
+          for (let from = 0; from < 4; from += 1)
+            for (let to = 0; to < 4; to += 1) sendUpdate(from, to);
         for (const print of ['p', 'q', 'r']) {
           const verdicts = entries.map((each) => each.isRefused(asId<Fingerprint>(print)));
           assert.equal(new Set(verdicts).size, 1);
@@ -99,14 +100,14 @@
   );
 });
 
-test('path, caller and body make a request, each on its own', () => {
+test('a fingerprint depends on each of path, caller and body', () => {
   const contents = { path: '/x', caller: 'k', body: Buffer.from('b') };
-  const prints = [
+  const fingerprints = [
     contents,
     { ...contents, path: '/y' },
     { ...contents, caller: 'l' },
     { ...contents, body: Buffer.from('c') },
   ].map(fingerprintOf);
-  assert.equal(new Set(prints).size, 4);
-  assert.equal(fingerprintOf({ ...contents }), prints[0]);
+  assert.equal(new Set(fingerprints).size, 4);
+  assert.equal(fingerprintOf({ ...contents }), fingerprints[0]);
 });
--- a/test/core/limits/limits.test.ts
+++ b/test/core/limits/limits.test.ts
@@ -238,7 +238,7 @@
 });
 
 test('consecutive failures are an outage until a success, with probes let through', () => {
-  const outage = new Outage({ minFailures: 3, minDurationMs: 100, probeIntervalMs: 200 });
+  const outage = new Outage({ failures: 3, minDurationMs: 100, probeIntervalMs: 200 });
   for (const at of [0, 10, 20]) outage.noteBad(at);
   assert.equal(outage.refuses(50), false, 'not long enough for an outage');
   assert.equal(outage.refuses(150), false, 'the first probe');
@@ -251,8 +251,9 @@
 });
 
 /**
- * Guards against a limit above the number of slots. With 129 ranks of four slots the fallback limit was 581 streams
- * whenever steps were slow; the group ran 421, requests to ranks without a free slot waited, and their first event was late.
+ * Guards against a limit above the number of slots. With 129 ranks of four slots the fallback limit
+ * was 581 streams whenever steps were slow; the group ran 421, requests to ranks without a free
+ * slot waited, and their first event was late.
  */
 test('the limit never exceeds its share of the slots, however slow steps are', () => {
   const model: StepModel = { ...MODEL, ranks: 129, slots: 4 };
--- a/test/core/limits/queue-terms.test.ts
+++ b/test/core/limits/queue-terms.test.ts
@@ -34,7 +34,9 @@
   readonly untilMs: number;
 }
 
-/** Simulates in steps of 1 ms; returns the mean value of callers whose first try was after `fromMs`. */
+/**
+ * Simulates in steps of 1 ms; returns the mean value of callers whose first try was after `fromMs`.
+ */
 function meanValue(policy: Policy, seed: number, fromMs: number): number {
   const random = seededRandom(seed);
   const endsAtMs: number[] = [];
@@ -86,8 +88,8 @@
   return SEEDS.reduce((sum, seed) => sum + meanValue(policy, seed, fromMs), 0) / SEEDS.length;
 }
 
-// Mean value per caller over 8 seeds: 0.569 with returning callers first, 0.823 with first tries first; from
-// second 20 on, when the burst is over, 0.685 and 0.892.
+// Mean value per caller over 8 seeds: 0.569 with returning callers first, 0.823 with first tries
+// first; from second 20 on, when the burst is over, 0.685 and 0.892.
 test('first tries first recovers after a burst, returning callers first prolongs the overload', () => {
   const later = {
     before: meanOverSeeds(returningFirst, 20_000),
--- a/test/core/retry/retry.test.ts
+++ b/test/core/retry/retry.test.ts
@@ -6,12 +6,12 @@
 
 const WINDOW_MS = 10_000;
 
-interface Played {
+interface Setup {
   readonly budget: RetryBudget;
   readonly clock: { atMs: number };
 }
 
-function budgetOf(share: () => number, extra: () => number): Played {
+function setupBudget(share: () => number, extra: () => number): Setup {
   const clock = { atMs: 0 };
   const budget = new RetryBudget({
     clock: { nowMs: () => clock.atMs },
@@ -22,12 +22,12 @@
   return { budget, clock };
 }
 
-test('retries never go beyond their share of first attempts and the extra ones', () => {
+test('retries never exceed their share of first attempts plus the extra ones', () => {
   const share = 0.2;
   const extra = 10;
   fc.assert(
     fc.property(fc.array(fc.boolean(), { maxLength: 400 }), (steps) => {
-      const { budget } = budgetOf(
+      const { budget } = setupBudget(
         () => share,
         () => extra,
       );
@@ -49,12 +49,12 @@
   afterMs: fc.oneof(fc.nat({ max: 100 }), fc.nat({ max: 6000 })),
 });
 
-test('that holds within every window, wherever it lies', () => {
+test('retries stay within the budget in every window, whenever it starts', () => {
   const share = 0.2;
   const extra = 3;
   fc.assert(
     fc.property(fc.array(STEP, { maxLength: 300 }), (steps) => {
-      const { budget, clock } = budgetOf(
+      const { budget, clock } = setupBudget(
         () => share,
         () => extra,
       );
@@ -67,7 +67,7 @@
           budget.deposit();
         } else if (budget.withdraw()) retries.push(clock.atMs);
       }
-      // A window that ends with any retry holds the most of them.
+      // The windows with the most retries end at a retry.
       for (const untilMs of retries) {
         const isIn = (atMs: number): boolean => atMs > untilMs - WINDOW_MS && atMs <= untilMs;
         const allowed = share * firsts.filter(isIn).length + extra;
@@ -78,8 +78,8 @@
   );
 });
 
-test('a share of nothing allows the extra ones, once in each window', () => {
-  const { budget, clock } = budgetOf(
+test('a share of 0 allows only the extra retries, once per window', () => {
+  const { budget, clock } = setupBudget(
     () => 0,
     () => 2,
   );
@@ -92,13 +92,13 @@
 });
 
 /**
- * Benchmark. Load: 42 entries with 4.3 requests a second each, and no fault for ten seconds; then an instance freezes, its
- * group stands still, and each entry's 6 streams there fail within a second; a second such fault with 4 streams 4 s later.
- * Before, with a balance that no first attempt raised above the extra ones: 4 retries at the first fault, 3 at the second.
- * After: 6 and 4.
+ * Guards against failed streams that are not retried although the budget allows it. 42 entries with
+ * 4.3 requests/s each run 10 s without faults; then an instance freezes, its group stalls, and 6
+ * streams per entry fail within a second, and 4 more at a second fault 4 s later. A balance that
+ * first attempts could not raise above the extra retries allowed 4 and 3.
  */
-test('streams that fail together after a while without faults are tried elsewhere, as far as the users allow', () => {
-  const { budget, clock } = budgetOf(
+test('streams that fail together after a time without faults are retried within the configured budget', () => {
+  const { budget, clock } = setupBudget(
     () => 0.14,
     () => retryExtra(234, 42),
   );
@@ -117,12 +117,12 @@
 });
 
 /**
- * Story: a fault that all entries of a large deployment meet at once (a group that loses a rank) may be followed by more
- * retries than the users allow: 448 in ten seconds beyond a share of the requests.
- * Evidence: found by reading, not seen in a play: each of 99 entries, and of the 38 that may be added, had a part for 48 of
- * them, 9.3 retries at once, 1,279 together. This test failed on that part.
+ * Guards against a retry storm when all entries of a large deployment hit a fault at once, such as
+ * a group that loses a rank. 448 extra retries in 10 s are allowed; with the extra ones divided by
+ * 48, each of 137 entries (99 and 38 that may be added) could retry 9.3 times at once, 1,279 times
+ * together.
  */
-test('all entries together take no more retries at once than are allowed, however many there are', () => {
+test('all entries together never exceed the allowed retries at once, however many there are', () => {
   for (const [entries, extra] of [
     [6, 90],
     [40, 230],
@@ -131,7 +131,7 @@
     const budgets = Array.from(
       { length: entries },
       () =>
-        budgetOf(
+        setupBudget(
           () => 0,
           () => retryExtra(extra, entries),
         ).budget,
@@ -142,9 +142,9 @@
   }
 });
 
-test('an allowance that shrinks as more entries are heard of leaves what was taken taken', () => {
+test('retries already taken count against an allowance that shrinks as more entries join', () => {
   let extra = 9;
-  const { budget } = budgetOf(
+  const { budget } = setupBudget(
     () => 0.5,
     () => extra,
   );
--- a/test/core/routing/health.test.ts
+++ b/test/core/routing/endpoint-health.test.ts
@@ -6,7 +6,7 @@
   EndpointHealth,
 } from '../../../src/core/routing/index.js';
 
-test('failures in a row eject an endpoint for longer each time, and single requests probe it back', () => {
+test('consecutive failures eject an endpoint for longer each time until a single probe succeeds', () => {
   const health = new EndpointHealth();
   const random = () => 0.5;
   for (let n = 1; n < EJECT_AFTER_FAILURES; n += 1)
@@ -15,7 +15,7 @@
   assert.equal(health.isEjected(EJECT_BASE_MS - 1), true);
   assert.equal(health.isEjected(EJECT_BASE_MS), false);
   health.noteSent(EJECT_BASE_MS);
-  assert.equal(health.isEjected(EJECT_BASE_MS + 1), true, 'the probe is out');
+  assert.equal(health.isEjected(EJECT_BASE_MS + 1), true, 'a probe is in flight');
   assert.equal(health.noteFailure(EJECT_BASE_MS + 2, random), true);
   assert.equal(health.isEjected(EJECT_BASE_MS + 2 + 2 * EJECT_BASE_MS - 1), true);
   health.noteSuccess();
