--- a/src/core/backpressure/endpoint-gate.ts
+++ b/src/core/backpressure/endpoint-gate.ts
@@ -1,8 +1,11 @@
-/** Whether one process of an endpoint may be sent a request by this entry: its backoff and its rate limit. */
+/**
+ * Whether one process of an endpoint may be sent a request by this entry: its backoff and its rate
+ * limit.
+ */
 import type { RateLimiter } from './rate-limiter.js';
 import { Backoff } from './backoff.js';
 
-/** When an endpoint may be sent a request, and what prevents it now. */
+/** When an endpoint may be sent a request, and which of backoff and rate limit prevents it now. */
 export interface Opening {
   readonly atMs: number;
   readonly why: 'rest' | 'limit' | undefined;
@@ -16,13 +19,13 @@
 
   /**
    * When a request may be sent; not later than `nowMs` if one may be sent now.
-   * @example const mayAsk = gate.opening(nowMs).atMs <= nowMs;
+   * @example const maySend = gate.opening(nowMs).atMs <= nowMs;
    */
   opening(nowMs: number): Opening {
-    const restedAtMs = this.backoff.opensAtMs(nowMs);
+    const backoffEndsAtMs = this.backoff.opensAtMs(nowMs);
     const limitedAtMs = this.limiter.nextTokenAtMs(nowMs);
-    if (Math.max(restedAtMs, limitedAtMs) <= nowMs) return { atMs: nowMs, why: undefined };
-    if (restedAtMs >= limitedAtMs) return { atMs: restedAtMs, why: 'rest' };
+    if (Math.max(backoffEndsAtMs, limitedAtMs) <= nowMs) return { atMs: nowMs, why: undefined };
+    if (backoffEndsAtMs >= limitedAtMs) return { atMs: backoffEndsAtMs, why: 'rest' };
     return { atMs: limitedAtMs, why: 'limit' };
   }
 
--- a/src/core/backpressure/gossip.ts
+++ b/src/core/backpressure/gossip.ts
@@ -4,8 +4,8 @@
 import type { AsksTold, ToldLimit } from '../../generated/messages.types.js';
 import { KnownLimits, type LimitChange } from './known-limits.js';
 
-/** What gossip needs. */
-export interface RateLimitGossipParts {
+/** Dependencies of the gossip. */
+export interface RateLimitGossipDeps {
   readonly clock: Pick<Clock, 'nowMs'>;
   /** Whether an endpoint is on the list of endpoints. */
   readonly isListed: (id: EndpointId) => boolean;
@@ -19,8 +19,8 @@
 export class RateLimitGossip {
   readonly limits: KnownLimits;
 
-  constructor(private readonly parts: RateLimitGossipParts) {
-    this.limits = new KnownLimits(parts.clock, parts.onChange);
+  constructor(private readonly deps: RateLimitGossipDeps) {
+    this.limits = new KnownLimits(deps.clock, deps.onChange);
   }
 
   /** Whether there are changes after a version. */
@@ -46,7 +46,7 @@
 
   /** Endpoints whose limits are to be announced to the relays; each is returned once. */
   pendingUpdates(): EndpointId[] {
-    this.limits.forget(this.parts.isListed);
+    this.limits.forget(this.deps.isListed);
     return this.limits.takePending();
   }
 }
--- a/src/core/backpressure/index.ts
+++ b/src/core/backpressure/index.ts
@@ -6,7 +6,7 @@
 export * from './limit-share.js';
 export * from './limit-updates.js';
 export * from './rate-limiter.js';
-export * from './read.js';
+export * from './parse-signals.js';
 export * from './relay-limiter.js';
 export * from './share-limiter.js';
 export * from './token-bucket.js';
--- a/src/core/backpressure/known-limits.ts
+++ b/src/core/backpressure/known-limits.ts
@@ -1,7 +1,7 @@
 /**
- * The rate limits that endpoints named, merged from what all entries observed. A limit is described by the time at which it was
- * last named and the send time of the last request answered without it. Both only grow, so updates may be merged in any order
- * and more than once.
+ * The rate limits that endpoints named, merged from what all entries observed. A limit is described
+ * by the time at which it was last named and the send time of the last request answered without it.
+ * Both only grow, so updates may be merged in any order and more than once.
  */
 import { randomInt } from 'node:crypto';
 import type { Clock } from '../clock/index.js';
@@ -14,13 +14,13 @@
 
 /** One answer of an endpoint, as some entry saw it. */
 interface Observation {
-  /** The same at every entry that hears of it. */
+  /** The same at every entry that receives it. */
   readonly id: number;
   readonly atMs: number;
 }
 
-/** What is known of one endpoint. */
-interface Known {
+/** What is known about the limit of one endpoint. */
+interface LimitRecord {
   readonly startedAtMs: number;
   limitPerS: number;
   /** When the limit was last named. */
@@ -31,33 +31,36 @@
   endedId: number;
   /** When the limit was last announced to others. */
   announcedAtMs: number;
-  /** When this entry found the limit to be over. */
+  /** When this entry first found the limit ended. */
   releasedAtMs: number | undefined;
   /** Version at which this last changed. */
   version: number;
 }
 
-/** A limit at one moment. */
-export interface LimitNow {
+/** A limit as of now. */
+export interface CurrentLimit {
   readonly limitPerS: number;
-  /** Time since it was over, ms; undefined while it stands. */
+  /** Time since it ended, ms; undefined while it is in effect. */
   readonly releasedMs: number | undefined;
 }
 
-/** A limit that was named, changed or ended. */
+/** A limit that was first named, changed or ended. */
 export interface LimitChange {
   readonly endpoint: EndpointId;
-  /** Requests/s that the endpoint takes; undefined where the limit ended. */
+  /** Requests/s that the endpoint accepts; undefined if the limit ended. */
   readonly limitPerS: number | undefined;
 }
 
 /** The limits known to one entry. Times are those of its clock, ms. */
 export class KnownLimits {
-  private readonly byId = new Map<EndpointId, Known>();
+  private readonly byId = new Map<EndpointId, LimitRecord>();
   /** Endpoints whose limits this entry has yet to announce. */
   private readonly pending = new Set<EndpointId>();
   private changes = 0;
-  /** Ids of this entry's observations; starts at random, since they are compared with those of others. */
+  /**
+   * Ids of this entry's observations; starts at random, since they are compared with those of
+   * others.
+   */
   private lastId = randomInt(MAX_FIRST_ID);
 
   /** @param onChange called when a limit is named, changes or ends */
@@ -77,10 +80,10 @@
   }
 
   /**
-   * The limit of an endpoint; undefined where it has none.
+   * The limit of an endpoint; undefined if it has none.
    * @example const limit = limits.of(endpoint);
    */
-  of({ id, startedAtMs }: EndpointProcess): LimitNow | undefined {
+  of({ id, startedAtMs }: EndpointProcess): CurrentLimit | undefined {
     const known = this.byId.get(id);
     if (!known || known.startedAtMs !== startedAtMs) return undefined;
     const nowMs = this.clock.nowMs();
@@ -91,14 +94,14 @@
     return releasedMs < RELEASE_MS ? { limitPerS, releasedMs } : undefined;
   }
 
-  /** Notes that an endpoint named a limit in an answer; true where that is news. */
+  /** Notes that an endpoint named a limit in an answer; true if it must be announced. */
   noteNamed(process: EndpointProcess, limitPerS: number): boolean {
     const isNew = this.takeNamed(process, limitPerS, this.observe(this.clock.nowMs()));
     if (isNew) this.pending.add(process.id);
     return isNew;
   }
 
-  /** Notes an answer without a limit to a request that was sent at a time; true where that ends one. */
+  /** Notes an answer without a limit to a request sent at a time; true if it ends one. */
   noteUnnamed(process: EndpointProcess, sentAtMs: number): boolean {
     const isNew = this.takeEnded(process, this.observe(sentAtMs));
     if (isNew) this.pending.add(process.id);
@@ -117,40 +120,40 @@
   ): boolean {
     const known = this.at(process);
     if (!known || atMs <= known.namedAtMs) return false;
-    const isAsBefore = known.namedAtMs > known.endedAtMs && known.limitPerS === limitPerS;
+    const isUnchanged = known.namedAtMs > known.endedAtMs && known.limitPerS === limitPerS;
     known.limitPerS = limitPerS;
     known.namedAtMs = atMs;
     known.namedId = id;
     if (known.namedAtMs <= known.endedAtMs) return false;
     known.releasedAtMs = undefined;
-    if (isAsBefore && atMs - known.announcedAtMs < ANNOUNCE_MS) return false;
+    if (isUnchanged && atMs - known.announcedAtMs < ANNOUNCE_MS) return false;
     known.announcedAtMs = atMs;
     this.change(known);
-    if (!isAsBefore) this.onChange({ endpoint: process.id, limitPerS });
+    if (!isUnchanged) this.onChange({ endpoint: process.id, limitPerS });
     return true;
   }
 
   private takeEnded(process: EndpointProcess, { id, atMs }: Observation): boolean {
     const known = this.byId.get(process.id);
     if (!known || known.startedAtMs !== process.startedAtMs) return false;
-    // A request sent before the limit was named may have been answered before as well.
+    // A request sent before the limit was named may also have been answered before that.
     if (atMs <= known.namedAtMs || atMs <= known.endedAtMs) return false;
-    const stood = known.namedAtMs > known.endedAtMs;
+    const wasInEffect = known.namedAtMs > known.endedAtMs;
     known.endedAtMs = atMs;
     known.endedId = id;
-    if (!stood) return false;
+    if (!wasInEffect) return false;
     this.change(known);
     this.onChange({ endpoint: process.id, limitPerS: undefined });
     return true;
   }
 
   /** The record of a process; undefined if a later process is known. */
-  private at({ id, startedAtMs }: EndpointProcess): Known | undefined {
+  private at({ id, startedAtMs }: EndpointProcess): LimitRecord | undefined {
     const known = this.byId.get(id);
     if (known && known.startedAtMs > startedAtMs) return undefined;
     if (known?.startedAtMs === startedAtMs) return known;
     const never = Number.NEGATIVE_INFINITY;
-    const made: Known = {
+    const made: LimitRecord = {
       startedAtMs,
       limitPerS: 0,
       namedAtMs: never,
@@ -165,7 +168,7 @@
     return made;
   }
 
-  private change(known: Known): void {
+  private change(known: LimitRecord): void {
     this.changes += 1;
     known.version = this.changes;
   }
@@ -204,7 +207,7 @@
 
   /**
    * Merges limits from another entry; true if any of them changed.
-   * @example if (limits.merge(news.limits)) relay.wake();
+   * @example if (limits.merge(update.limits)) relay.wake();
    */
   merge(limits: readonly ToldLimit[]): boolean {
     const before = this.changes;
@@ -213,7 +216,7 @@
       const process = { id: asId<EndpointId>(limit.endpoint), startedAtMs: limit.startedAtMs };
       const { namedAgoMs, namedId, endedAgoMs, endedId } = limit;
       const known = this.byId.get(process.id);
-      // An observation that comes back by another entry would seem newer by the time it took.
+      // An observation returned by another entry would seem newer by its time in transit.
       const isSame = known?.startedAtMs === process.startedAtMs;
       if (!isSame || known.namedId !== namedId)
         this.takeNamed(process, limit.limitPerS, { id: namedId, atMs: nowMs - namedAgoMs });
@@ -232,7 +235,7 @@
     this.takeEnded(process, end);
   }
 
-  /** Drops limits that are over, and those of endpoints that are no longer listed. */
+  /** Drops ended limits and those of endpoints that are no longer listed. */
   forget(isListed: (id: EndpointId) => boolean): void {
     const nowMs = this.clock.nowMs();
     for (const [id, { namedAtMs, endedAtMs }] of this.byId) {
--- a/src/core/backpressure/limit-share.ts
+++ b/src/core/backpressure/limit-share.ts
@@ -1,9 +1,10 @@
 /**
  * How a rate limit is divided.
  *
- * Where relays grant tokens, each of them holds a fixed part (`shardShare`). Entries that know one another but have no relays
- * use a ring (`limitShare`): only as many of them as the bound allows requests send to one endpoint, so the bound holds even if
- * all of them resume at once; other endpoints of the service have other entries.
+ * If relays grant tokens, each of them holds a fixed part (`shardShare`). Entries that know one
+ * another but have no relays use a ring (`limitShare`): only as many of them as the bound allows
+ * requests send to one endpoint, so the bound holds even if all of them resume at once; other
+ * endpoints of the service have other entries.
  */
 import {
   ISOLATED_SHARE,
@@ -12,10 +13,10 @@
   MIN_RELEASED_PER_S,
   TARGET_UTILISATION,
 } from './consts.js';
-import type { LimitNow } from './known-limits.js';
+import type { CurrentLimit } from './known-limits.js';
 import type { LimitShare } from './token-bucket.js';
 
-/** Who shares the limits of a service's endpoints. */
+/** The peers sharing the limits of a service's endpoints. */
 export interface Sharers {
   /** Index of this entry among those known; undefined if the others are not known. */
   readonly place: number | undefined;
@@ -24,37 +25,40 @@
 }
 
 /** Inputs of a share in the ring. */
-export interface LimitShareFacts {
-  /** Requests a second that the endpoint takes. */
+export interface LimitShareInput {
+  /** Requests/s that the endpoint accepts. */
   readonly limitPerS: number;
   readonly sharers: Sharers;
-  /** Place of the endpoint among those of its service, as a share of them, 0 to 1. */
+  /** Position of the endpoint among those of its service, 0 to 1. */
   readonly ringPlace: number;
 }
 
 const MS_PER_S = 1000;
 const WINDOW_S = LIMIT_BOUND.windowMs / MS_PER_S;
-/** Part of a window in which a bucket gains what may be sent in one: requests do not arrive exactly a window apart. */
+/**
+ * Part of a window in which a bucket gains the tokens of one, since requests do not arrive exactly
+ * a window apart.
+ */
 const WINDOW_SHARE = 0.95;
 
-/** Requests that all entries together may send in a window. */
+/** Maximum requests of all entries together in a window. */
 function allowedInWindow(limitPerS: number): number {
   return TARGET_UTILISATION * (LIMIT_BOUND.factor * limitPerS * WINDOW_S + LIMIT_BOUND.extra);
 }
 
 /**
- * What one entry may send of a limit.
+ * The share of a limit that one entry may use.
  * @example limitShare({ limitPerS: 4, sharers: { place: 2, count: 6 }, ringPlace: 0 }).perS // 0.67
  */
-export function limitShare({ limitPerS, sharers, ringPlace }: LimitShareFacts): LimitShare {
+export function limitShare({ limitPerS, sharers, ringPlace }: LimitShareInput): LimitShare {
   const { place, count } = sharers;
   const allowed = allowedInWindow(limitPerS);
-  const most = Math.floor(allowed);
-  if (place === undefined) return { perS: limitPerS / Math.max(count, most), saved: 1 };
-  if (count <= most) return shareOfEach(limitPerS, allowed / count, count);
+  const maxPerWindow = Math.floor(allowed);
+  if (place === undefined) return { perS: limitPerS / Math.max(count, maxPerWindow), saved: 1 };
+  if (count <= maxPerWindow) return shareOfEach(limitPerS, allowed / count, count);
   const first = Math.floor(ringPlace * count);
-  const isOneOf = (place - first + count) % count < most;
-  return { perS: isOneOf ? limitPerS / most : 0, saved: 1 };
+  const isOneOf = (place - first + count) % count < maxPerWindow;
+  return { perS: isOneOf ? limitPerS / maxPerWindow : 0, saved: 1 };
 }
 
 /**
@@ -71,7 +75,7 @@
 }
 
 /** Rate of all entries together, requests/s: the limit, or a ramp after its end. */
-function ratePerS({ limitPerS, releasedMs }: LimitNow): number {
+function ratePerS({ limitPerS, releasedMs }: CurrentLimit): number {
   if (releasedMs === undefined) return Math.max(limitPerS, MIN_PROBE_PER_S);
   return Math.max(limitPerS, MIN_RELEASED_PER_S) * 2 ** (releasedMs / MS_PER_S);
 }
@@ -80,7 +84,7 @@
  * The part of a limit that one of some relays grants.
  * @example shardShare({ limitPerS: 3, releasedMs: undefined }, 3).perS // 1
  */
-export function shardShare(limit: LimitNow, shards: number): LimitShare {
+export function shardShare(limit: CurrentLimit, shards: number): LimitShare {
   const perS = ratePerS(limit) / shards;
   if (limit.releasedMs !== undefined) return { perS, saved: 1 };
   const inWindow = allowedInWindow(limit.limitPerS) / shards;
@@ -88,14 +92,14 @@
 }
 
 /**
- * The part of an entry that reaches no relay, among as many peers that may not reach one either.
+ * The share of an entry that reaches no relay, assuming that none of that many peers does.
  * @example isolatedShare({ limitPerS: 4, releasedMs: undefined }, 48).perS // 0.042
  */
-export function isolatedShare(limit: LimitNow, peers: number): LimitShare {
+export function isolatedShare(limit: CurrentLimit, peers: number): LimitShare {
   return { perS: (ISOLATED_SHARE * ratePerS(limit)) / peers, saved: 1 };
 }
 
-/** The share of each entry where all of them may send so many in a window. */
+/** The share of each entry if each may send `inWindow` requests in a window. */
 function shareOfEach(limitPerS: number, inWindow: number, count: number): LimitShare {
   const perS = Math.min(limitPerS / count, (WINDOW_SHARE * Math.floor(inWindow)) / WINDOW_S);
   return { perS, saved: Math.max(1, inWindow - perS * WINDOW_S) };
--- a/src/core/backpressure/limit-updates.ts
+++ b/src/core/backpressure/limit-updates.ts
@@ -1,4 +1,7 @@
-/** Sends what an entry learns of rate limits to each relay until that relay has acknowledged it. */
+/**
+ * Sends the rate limits that an entry observes to each relay until that relay has acknowledged
+ * them.
+ */
 import type { Clock } from '../clock/index.js';
 import type { EndpointId } from '../ids/index.js';
 import type { ToldLimit } from '../../generated/messages.types.js';
@@ -6,11 +9,11 @@
 /** Pause after an update that was not acknowledged, ms. */
 const RESEND_MS = 1000;
 
-/** What sending needs. */
-export interface LimitUpdatesParts {
+/** Dependencies of sending updates. */
+export interface LimitUpdatesDeps {
   readonly clock: Pick<Clock, 'nowMs'>;
   readonly relays: readonly string[];
-  /** What is known of an endpoint's limit now. */
+  /** An endpoint's limit as a message; undefined if none is known. */
   readonly describe: (id: EndpointId) => ToldLimit | undefined;
   /** Sends an update; rejects if it is not acknowledged in time. */
   readonly send: (relay: string, limits: ToldLimit[]) => Promise<void>;
@@ -25,12 +28,12 @@
   resendAtMs: number;
 }
 
-/** Updates to all relays; each has an outbox of its own. */
+/** Updates to all relays, with an outbox per relay. */
 export class LimitUpdates {
   private readonly outboxes: readonly Outbox[];
 
-  constructor(private readonly parts: LimitUpdatesParts) {
-    this.outboxes = parts.relays.map((relay) => ({
+  constructor(private readonly deps: LimitUpdatesDeps) {
+    this.outboxes = deps.relays.map((relay) => ({
       relay,
       pending: new Set(),
       isSending: false,
@@ -43,7 +46,7 @@
    * @example updates.flush(gossip.pendingUpdates());
    */
   flush(changed: readonly EndpointId[]): void {
-    const nowMs = this.parts.clock.nowMs();
+    const nowMs = this.deps.clock.nowMs();
     for (const outbox of this.outboxes) {
       for (const id of changed) outbox.pending.add(id);
       const isDue = outbox.pending.size > 0 && nowMs >= outbox.resendAtMs;
@@ -52,7 +55,7 @@
   }
 
   private async send(outbox: Outbox): Promise<void> {
-    const { clock, describe, send, onFailed } = this.parts;
+    const { clock, describe, send, onFailed } = this.deps;
     const ids = [...outbox.pending];
     outbox.pending.clear();
     outbox.isSending = true;
--- a/src/core/backpressure/relay-limiter.ts
+++ b/src/core/backpressure/relay-limiter.ts
@@ -1,4 +1,7 @@
-/** A rate limiter whose tokens are granted by relays, each of which holds a fixed part of every limit. */
+/**
+ * A rate limiter whose tokens are granted by relays, each of which holds a fixed part of every
+ * limit.
+ */
 import type { Clock } from '../clock/index.js';
 import { errorText } from '../errors/index.js';
 import type { InstanceId } from '../ids/index.js';
@@ -15,32 +18,32 @@
   PENDING_RETRY_MS,
   UNREACHABLE_RETRY_MS,
 } from './consts.js';
-import type { KnownLimits, LimitNow } from './known-limits.js';
+import type { KnownLimits, CurrentLimit } from './known-limits.js';
 import { isolatedShare } from './limit-share.js';
 import type { RateLimiter } from './rate-limiter.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** How a token was had, or why none was. */
+/** How a token was obtained, or why none was. */
 export type TokenResult = 'granted' | 'denied' | 'unreachable' | 'local';
 
-/** What limiting needs. */
-export interface RelayLimiterParts {
+/** Dependencies of the limiters. */
+export interface RelayLimiterDeps {
   readonly clock: Pick<Clock, 'nowMs'>;
   readonly random: () => number;
   readonly own: InstanceId;
   readonly limits: KnownLimits;
   /** Addresses of all relays, this entry among them if it is one; the same at every entry. */
   readonly relays: readonly string[];
-  /** Asks a relay for a token; rejects if it does not answer in time. */
+  /** Requests a token from a relay; rejects if it does not answer in time. */
   readonly ask: (relay: string, request: TokenRequest) => Promise<TokenGrant>;
-  /** Entries that are known by other means; 0 for none. */
+  /** Number of entries known from other sources; 0 if none. */
   readonly countKnown: () => number;
   readonly log: Pick<Log, 'info'>;
-  /** Counts each token, or the lack of one. */
+  /** Called with the result of each token request. */
   readonly onResult: (result: TokenResult) => void;
 }
 
-/** Relays that grant tokens of one endpoint. */
+/** Number of relays that grant tokens of one endpoint. */
 export function shardCount(relays: number): number {
   return Math.min(MAX_SHARDS, relays);
 }
@@ -48,43 +51,46 @@
 /** One relay of an endpoint. */
 interface Shard {
   readonly relay: string;
-  /** When it may be asked next, ms. */
+  /** Earliest time of the next token request, ms. */
   nextAtMs: number;
-  /** Rate at which it last denied a token, requests/s; it may be asked at once when the limit rises. */
+  /**
+   * Rate at which it last denied a token, requests/s; the next request may be sent at once when the
+   * limit rises.
+   */
   deniedPerS: number;
   isReachable: boolean;
 }
 
-/** The rate that a relay's denial is compared by; a limit that has ended is above all others. */
-function ratePerS({ limitPerS, releasedMs }: LimitNow): number {
+/** The rate to compare with that of a denial; an ended limit is above all others. */
+function ratePerS({ limitPerS, releasedMs }: CurrentLimit): number {
   return releasedMs === undefined ? limitPerS : Number.POSITIVE_INFINITY;
 }
 
-function askAtMs({ nextAtMs, deniedPerS }: Shard, limit: LimitNow): number {
+function askAtMs({ nextAtMs, deniedPerS }: Shard, limit: CurrentLimit): number {
   return ratePerS(limit) > deniedPerS ? Number.NEGATIVE_INFINITY : nextAtMs;
 }
 
 /** The limiters of one entry. */
 export class RelayLimiters {
-  /** The largest number of entries that a relay told of. */
+  /** The largest number of entries that a relay reported. */
   private peers = 0;
 
-  constructor(private readonly parts: RelayLimiterParts) {}
+  constructor(private readonly deps: RelayLimiterDeps) {}
 
   /**
    * The limiter of one process of an endpoint.
    * @example new EndpointGate(limiters.of(endpoint))
    */
   of(process: EndpointProcess): RateLimiter {
-    return new RelayLimiter(this.parts, process, this);
+    return new RelayLimiter(this.deps, process, this);
   }
 
-  /** Entries that may be sending beside this one. */
+  /** Number of entries assumed to share the limits. */
   get peersAssumed(): number {
-    return Math.max(ASSUMED_PEERS, this.parts.countKnown(), this.peers);
+    return Math.max(ASSUMED_PEERS, this.deps.countKnown(), this.peers);
   }
 
-  /** Notes how many entries a relay told of. */
+  /** Notes the number of entries that a relay reported. */
   notePeers(count: number): void {
     this.peers = Math.max(this.peers, count);
   }
@@ -92,20 +98,20 @@
 
 class RelayLimiter implements RateLimiter {
   private readonly shards: readonly Shard[];
-  /** Tokens of this entry's own while no relay can be reached. */
+  /** This entry's own tokens while no relay can be reached. */
   private readonly local: TokenBucket;
   private isIsolated = false;
   private pending = 0;
 
   constructor(
-    private readonly parts: RelayLimiterParts,
+    private readonly deps: RelayLimiterDeps,
     private readonly process: EndpointProcess,
     private readonly limiters: RelayLimiters,
   ) {
-    const { relays, random, own } = parts;
-    // By host: daemons may reach the same relay at different ports.
-    const granting = rendezvousOrder(process.id, relays, hostOf).slice(0, MAX_SHARDS);
-    this.shards = rendezvousOrder(own, granting, hostOf).map((relay) => ({
+    const { relays, random, own } = deps;
+    // By host, since daemons may reach the same relay at different ports.
+    const granters = rendezvousOrder(process.id, relays, hostOf).slice(0, MAX_SHARDS);
+    this.shards = rendezvousOrder(own, granters, hostOf).map((relay) => ({
       relay,
       nextAtMs: Number.NEGATIVE_INFINITY,
       deniedPerS: Number.POSITIVE_INFINITY,
@@ -116,7 +122,7 @@
   }
 
   nextTokenAtMs(nowMs: number): number {
-    const { limits } = this.parts;
+    const { limits } = this.deps;
     const limit = limits.isEmpty ? undefined : limits.of(this.process);
     if (!limit) return nowMs;
     if (this.pending >= MAX_PENDING) return nowMs + PENDING_RETRY_MS;
@@ -125,7 +131,7 @@
   }
 
   async acquire(): Promise<boolean> {
-    const { clock, limits } = this.parts;
+    const { clock, limits } = this.deps;
     const limit = limits.isEmpty ? undefined : limits.of(this.process);
     if (!limit) return true;
     this.pending += 1;
@@ -139,11 +145,11 @@
   }
 
   private async ask(shard: Shard): Promise<boolean> {
-    const { own, limits } = this.parts;
+    const { own, limits } = this.deps;
     const limit = limits.describe(this.process.id);
     if (!limit) return true;
     try {
-      const grant = await this.parts.ask(shard.relay, { from: own, limit });
+      const grant = await this.deps.ask(shard.relay, { from: own, limit });
       this.take(shard, grant);
       return grant.isGranted;
     } catch (err) {
@@ -153,7 +159,7 @@
   }
 
   private noteUnreachable(shard: Shard, err: string): void {
-    const { random, log, onResult } = this.parts;
+    const { random, log, onResult } = this.deps;
     shard.isReachable = false;
     this.pause(shard, UNREACHABLE_RETRY_MS * (1 + random()));
     this.noteReach();
@@ -162,14 +168,14 @@
   }
 
   private pause(shard: Shard, forMs: number): void {
-    const { clock, limits } = this.parts;
+    const { clock, limits } = this.deps;
     const limit = limits.of(this.process);
     shard.nextAtMs = clock.nowMs() + forMs;
     shard.deniedPerS = limit ? ratePerS(limit) : Number.POSITIVE_INFINITY;
   }
 
   private take(shard: Shard, { isGranted, retryMs = 0, peers, limit }: TokenGrant): void {
-    const { limits, onResult } = this.parts;
+    const { limits, onResult } = this.deps;
     if (limit) limits.merge([limit]);
     this.limiters.notePeers(peers);
     shard.isReachable = true;
@@ -178,28 +184,28 @@
     onResult(isGranted ? 'granted' : 'denied');
   }
 
-  /** Notes whether any relay can be reached; the local bucket gains nothing while one can. */
+  /** Updates whether any relay can be reached; the local bucket gains no tokens while one can. */
   private noteReach(): void {
     const isIsolated = !this.shards.some(({ isReachable }) => isReachable);
     if (isIsolated === this.isIsolated) return;
     this.isIsolated = isIsolated;
-    if (isIsolated) this.local.resume(this.parts.clock.nowMs());
+    if (isIsolated) this.local.resume(this.deps.clock.nowMs());
     const peers = this.limiters.peersAssumed;
-    this.parts.log.info('rate-limit.reach', { endpoint: this.process.id, isIsolated, peers });
+    this.deps.log.info('rate-limit.reach', { endpoint: this.process.id, isIsolated, peers });
   }
 
-  private localAtMs(limit: LimitNow, nowMs: number): number {
+  private localAtMs(limit: CurrentLimit, nowMs: number): number {
     if (!this.isIsolated) return Number.POSITIVE_INFINITY;
     return this.local.nextTokenAtMs(isolatedShare(limit, this.limiters.peersAssumed), nowMs);
   }
 
   private takeLocal(): boolean {
-    const nowMs = this.parts.clock.nowMs();
-    const limit = this.parts.limits.of(this.process);
+    const nowMs = this.deps.clock.nowMs();
+    const limit = this.deps.limits.of(this.process);
     if (!limit) return true;
     if (this.localAtMs(limit, nowMs) > nowMs) return false;
     this.local.consume(isolatedShare(limit, this.limiters.peersAssumed), nowMs);
-    this.parts.onResult('local');
+    this.deps.onResult('local');
     return true;
   }
 }
--- a/src/core/backpressure/share-limiter.ts
+++ b/src/core/backpressure/share-limiter.ts
@@ -3,16 +3,16 @@
 import { TokenBucket, type LimitShare } from './token-bucket.js';
 import type { RateLimiter } from './rate-limiter.js';
 
-/** Period over which a share is cached, ms: every request looks at all endpoints of its service. */
+/** Time for which a share is cached, ms: each request considers all endpoints of its service. */
 const SHARE_MS = 100;
 
-/** Limits by a share of the entry's own. */
+/** Limits requests to the share of this entry. */
 export class ShareLimiter implements RateLimiter {
   private readonly bucket: TokenBucket;
   private share: LimitShare | undefined;
   private shareAtMs = Number.NEGATIVE_INFINITY;
 
-  /** @param shareNow what the entry may send now; undefined while the endpoint has no limit */
+  /** @param shareNow the current share of the entry; undefined while the endpoint has no limit */
   constructor(
     private readonly clock: Pick<Clock, 'nowMs'>,
     random: () => number,
--- a/src/core/backpressure/token-bucket.ts
+++ b/src/core/backpressure/token-bucket.ts
@@ -1,16 +1,19 @@
 /** A token bucket whose rate and capacity may change. Times are ms. */
 
-/** What may be sent of a limit. */
+/** The rate and burst capacity available from a limit. */
 export interface LimitShare {
   /** Rate, requests/s; 0 if all of the limit belongs to others. */
   readonly perS: number;
-  /** Capacity: tokens saved while none is needed. */
+  /** Capacity: maximum tokens accumulated while unused. */
   readonly saved: number;
 }
 
 const MS_PER_S = 1000;
 
-/** Starts with a part of one token, given by `random`: buckets that start together do not fill at the same time. */
+/**
+ * Token bucket that starts with a part of one token, given by `random`, so that buckets started
+ * together do not fill together.
+ */
 export class TokenBucket {
   private level: number | undefined;
   private filledAtMs = 0;
@@ -23,7 +26,7 @@
    */
   nextTokenAtMs(share: LimitShare, nowMs: number): number {
     const level = this.fill(share, nowMs);
-    // Tokens saved of a share that is now another entry's count there.
+    // Tokens saved from a share that now belongs to another entry count there.
     if (share.perS === 0) return Number.POSITIVE_INFINITY;
     if (level >= 1) return nowMs;
     return nowMs + ((1 - level) / share.perS) * MS_PER_S;
@@ -34,7 +37,7 @@
     this.level = this.fill(share, nowMs) - 1;
   }
 
-  /** Skips the time until now: no tokens are gained for it. */
+  /** Restarts filling now; no tokens are gained for the time before. */
   resume(nowMs: number): void {
     this.level ??= this.random();
     this.filledAtMs = nowMs;
--- a/src/core/backpressure/token-grants.ts
+++ b/src/core/backpressure/token-grants.ts
@@ -1,31 +1,32 @@
 /**
  * Tokens that a relay grants for requests to endpoints that named a rate limit.
  *
- * Every relay of an endpoint grants a fixed part of its limit and knows nothing of the others, so the limit holds through
- * restarts, partitions and lost messages: a relay that is out of reach leaves its part unused.
+ * Each relay of an endpoint grants a fixed part of its limit independently of the others, so the
+ * limit holds during restarts, partitions and message loss: the part of an unreachable relay
+ * remains unused.
  */
 import type { Clock } from '../clock/index.js';
 import { asId, type EndpointId } from '../ids/index.js';
 import type { TokenGrant, TokenRequest } from '../../generated/messages.types.js';
-import { ASKS_PER_TOKEN, COMPETITOR_MS, MAX_SPACING_MS } from './consts.js';
+import { REQUESTS_PER_TOKEN, COMPETITOR_MS, MAX_SPACING_MS } from './consts.js';
 import type { KnownLimits } from './known-limits.js';
 import { shardShare } from './limit-share.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** What granting needs. */
-export interface TokenGrantsParts {
+/** Dependencies of granting. */
+export interface TokenGrantsDeps {
   readonly clock: Pick<Clock, 'nowMs'>;
   readonly random: () => number;
   readonly limits: KnownLimits;
-  /** Relays that grant tokens of one endpoint. */
+  /** Number of relays that grant tokens of one endpoint. */
   readonly shards: number;
 }
 
-/** One process of an endpoint. */
+/** Granting state of one process of an endpoint. */
 interface Granted {
   readonly startedAtMs: number;
   readonly bucket: TokenBucket;
-  /** When each entry last asked, ms; the longest ago first. */
+  /** Time of the last token request of each entry, ms; oldest first. */
   readonly competitors: Map<string, number>;
 }
 
@@ -36,14 +37,14 @@
   private readonly byId = new Map<EndpointId, Granted>();
   private maxCompetitors = 1;
 
-  constructor(private readonly parts: TokenGrantsParts) {}
+  constructor(private readonly deps: TokenGrantsDeps) {}
 
   /**
-   * Takes a token for an entry; the request carries what the entry knows of the limit.
+   * Grants or denies a token to an entry; the request carries the limit as known to the entry.
    * @example grants.take({ from: 'entry-1', limit }).isGranted
    */
   take({ from, limit }: TokenRequest): TokenGrant {
-    const { clock, limits, shards } = this.parts;
+    const { clock, limits, shards } = this.deps;
     limits.merge([limit]);
     const process = { id: asId<EndpointId>(limit.endpoint), startedAtMs: limit.startedAtMs };
     const limitNow = limits.of(process);
@@ -63,20 +64,23 @@
   }
 
   private granted(id: EndpointId): TokenGrant {
-    const limit = this.parts.limits.describe(id);
+    const limit = this.deps.limits.describe(id);
     return { isGranted: true, peers: this.maxCompetitors, ...(limit && { limit }) };
   }
 
-  /** Pause of one entry, ms, with which all of them together ask for a few times the tokens there are. */
+  /**
+   * Pause of one entry, ms, such that all competitors together request `REQUESTS_PER_TOKEN` times
+   * the tokens available.
+   */
   private spacingMs(competitors: number, perS: number): number {
-    const meanMs = (competitors * MS_PER_S) / (perS * ASKS_PER_TOKEN);
-    return meanMs * (0.5 + this.parts.random());
+    const meanMs = (competitors * MS_PER_S) / (perS * REQUESTS_PER_TOKEN);
+    return meanMs * (0.5 + this.deps.random());
   }
 
   private at({ id, startedAtMs }: { id: EndpointId; startedAtMs: number }): Granted {
     const known = this.byId.get(id);
     if (known?.startedAtMs === startedAtMs) return known;
-    // Starts empty: tokens granted before a restart of the relay are not known.
+    // Starts empty, since tokens granted before a restart of the relay are not known.
     const made = { startedAtMs, bucket: new TokenBucket(() => 0), competitors: new Map() };
     this.byId.set(id, made);
     return made;
@@ -95,6 +99,6 @@
   /** Drops endpoints without a limit. */
   forget(): void {
     for (const [id, { startedAtMs }] of this.byId)
-      if (!this.parts.limits.of({ id, startedAtMs })) this.byId.delete(id);
+      if (!this.deps.limits.of({ id, startedAtMs })) this.byId.delete(id);
   }
 }
--- a/src/core/backpressure/types.ts
+++ b/src/core/backpressure/types.ts
@@ -1,19 +1,19 @@
-/** What endpoints ask for in their answers. */
+/** Backpressure signals that endpoints send in the headers of their answers. */
 
-/** What one answer asks for. */
+/** The backpressure signals of one answer. */
 export interface AnswerAsks {
-  /** Time for which the endpoint wants nothing more from this entry, ms; undefined where it asks for no rest. */
+  /** Requested backoff of this entry, ms; undefined if none is requested. */
   readonly restMs: number | undefined;
-  /** Whether it says that it leaves. */
+  /** Whether the endpoint announces that it is leaving. */
   readonly isLeaving: boolean;
-  /** Requests a second that it takes from all entries together; undefined where it names no limit. */
+  /** Rate limit for all entries together, requests/s; undefined if none is named. */
   readonly limitPerS: number | undefined;
-  /** Names of what could not be read, which counts as not asked for. */
+  /** Signals with an invalid value, which are treated as absent. */
   readonly unreadable: readonly AskName[];
 }
 
-/** The things that an endpoint may ask for. */
+/** Names of the signals. */
 export type AskName = 'rest' | 'leaving' | 'limit';
 
-/** What an answer says of them, as texts; undefined for what it does not say. */
-export type AskTexts = Readonly<Record<AskName, string | undefined>>;
+/** Header value of each signal; undefined if the header is absent. */
+export type SignalTexts = Readonly<Record<AskName, string | undefined>>;
--- a/src/core/limits/stream-limit-estimator.ts
+++ b/src/core/limits/stream-limit-estimator.ts
@@ -87,12 +87,12 @@
   constructor(private readonly options: StreamLimitOptions = DEFAULT_STREAM_LIMIT_OPTIONS) {}
 
   /**
-   * Notes a pause between two events of a stream while the group ran `streams` in total.
+   * Notes a pause between two events of a stream while the group had `inFlight` streams.
    * @example estimator.notePause(62, 48, model, clock.nowMs());
    */
-  notePause(pauseMs: number, streams: number, model: StepModel, nowMs: number): void {
+  notePause(pauseMs: number, inFlight: number, model: StepModel, nowMs: number): void {
     if (nowMs >= this.windowEndsAtMs) this.startWindow(nowMs);
-    const ratio = pauseMs / predictedStepMs(model, streams);
+    const ratio = pauseMs / predictedStepMs(model, inFlight);
     // Weighted by length: many streams observe the same step, and slow steps are few.
     this.ratioSum += ratio;
     this.squaredRatioSum += ratio * ratio;
--- a/test/core/backpressure/known-limits.test.ts
+++ b/test/core/backpressure/known-limits.test.ts
@@ -1,4 +1,4 @@
-/** What entries know of limits, put together from what each was told. */
+/** Merging of rate limits observed by several entries. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -36,7 +36,7 @@
   return limit && limit.releasedMs === undefined ? limit.limitPerS : undefined;
 };
 
-test('a limit stands until a request that was sent after it was named is answered without one', () => {
+test('a limit is in effect until a request sent after it was named is answered without one', () => {
   const clock = clockAt(1000);
   const limits = limitsAt(clock);
   assert.ok(limits.noteNamed(ENDPOINT, 4));
@@ -46,12 +46,12 @@
   clock.atMs = 1500;
   assert.ok(limits.noteUnnamed(ENDPOINT, 1400));
   assert.equal(perS(limits), undefined);
-  assert.ok(limits.of(ENDPOINT), 'what is sent rises bit by bit');
+  assert.ok(limits.of(ENDPOINT), 'the rate ramps up after the end of a limit');
   clock.atMs = 6000;
   assert.equal(limits.of(ENDPOINT), undefined);
 });
 
-test('silence does not end a limit', () => {
+test('a limit does not expire without answers', () => {
   const clock = clockAt(0);
   const limits = limitsAt(clock);
   limits.noteNamed(ENDPOINT, 4);
@@ -66,7 +66,7 @@
   limits.noteNamed(ENDPOINT, 4);
   clock.atMs = 1000;
   limits.forget(() => false);
-  assert.equal(perS(limits), 4, 'it may be missing from the list for a moment');
+  assert.equal(perS(limits), 4, 'it may be missing from the list only briefly');
   clock.atMs = 100_000;
   limits.forget(() => false);
   assert.ok(limits.isEmpty);
@@ -78,11 +78,11 @@
   const next = { ...ENDPOINT, startedAtMs: 8 };
   assert.equal(limits.of(next), undefined);
   assert.ok(limits.noteNamed(next, 2));
-  assert.ok(!limits.noteNamed(ENDPOINT, 4), 'an answer of the process before was on its way');
+  assert.ok(!limits.noteNamed(ENDPOINT, 4), 'an answer of the earlier process may arrive late');
   assert.equal(limits.of(next)?.limitPerS, 2);
 });
 
-test('whatever the order in which entries are told, they come to know the same', () => {
+test('entries converge in any order of updates', () => {
   const step = fc.record({
     entry: fc.nat(2),
     atMs: fc.integer({ min: 0, max: 9000 }),
@@ -99,16 +99,16 @@
         else limits?.noteNamed(ENDPOINT, limitPerS);
       }
       clock.atMs = 9000;
-      const told = entries.map((limits) => limits.changesSince(0));
-      if (isReversed) told.reverse();
-      for (const limits of entries) for (const news of told) limits.merge(news);
+      const updates = entries.map((limits) => limits.changesSince(0));
+      if (isReversed) updates.reverse();
+      for (const limits of entries) for (const update of updates) limits.merge(update);
       const known = entries.map((limits) => limits.changesSince(0)[0]?.namedAgoMs);
       assert.equal(new Set(known.filter((ago) => ago !== undefined)).size <= 1, true);
     }),
   );
 });
 
-/** Entries that tell one relay, and hear from it. */
+/** Entries that exchange updates by way of one relay. */
 class RelayedFleet {
   readonly relay: RateLimitGossip;
   readonly entries: readonly RateLimitGossip[];
@@ -116,34 +116,35 @@
   private readonly updates: readonly LimitUpdates[];
 
   constructor(count: number, clock: TestClock) {
-    const exchange = (): RateLimitGossip => new RateLimitGossip({ clock, isListed: () => true });
-    this.relay = exchange();
-    this.entries = Array.from({ length: count - 1 }, exchange);
+    const createGossip = (): RateLimitGossip =>
+      new RateLimitGossip({ clock, isListed: () => true });
+    this.relay = createGossip();
+    this.entries = Array.from({ length: count - 1 }, createGossip);
     this.updates = this.entries.map(
       ({ limits }) =>
         new LimitUpdates({
           clock,
           relays: ['relay'],
           describe: (id) => limits.describe(id),
-          send: (_relay, told) => this.take(told),
+          send: (_relay, update) => this.deliver(update),
           onFailed: () => undefined,
         }),
     );
   }
 
-  private take(told: ToldLimit[]): Promise<void> {
+  private deliver(limits: ToldLimit[]): Promise<void> {
     if (!this.isRelayUp) return Promise.reject(new Error('the relay is down'));
-    this.relay.mergeFromPeer({ limits: told });
+    this.relay.mergeFromPeer({ limits });
     return Promise.resolve();
   }
 
-  /** One round of updates, and then of answers of the relay. */
+  /** One round of updates to the relay, and then of deltas from it. */
   async round(): Promise<void> {
     for (const [i, entry] of this.entries.entries()) this.updates[i]?.flush(entry.pendingUpdates());
     await new Promise(setImmediate);
     if (!this.isRelayUp) return;
-    const news = this.relay.deltaSince(NO_VERSION);
-    for (const entry of this.entries) if (news) entry.mergeFromRelay(news);
+    const delta = this.relay.deltaSince(NO_VERSION);
+    for (const entry of this.entries) if (delta) entry.mergeFromRelay(delta);
   }
 }
 
@@ -151,7 +152,7 @@
   for (; clock.atMs <= untilMs; clock.atMs += 400) await fleet.round();
 }
 
-test('42 entries hear of a limit by the relays within a second', async () => {
+test('42 entries receive a limit through the relay within a second', async () => {
   const clock = clockAt(0);
   const fleet = new RelayedFleet(42, clock);
   fleet.entries[5]?.limits.noteNamed(ENDPOINT, 4);
@@ -159,7 +160,7 @@
   assert.ok([fleet.relay, ...fleet.entries].every((entry) => perS(entry.limits) === 4));
 });
 
-test('all entries hear within a second that the need of an endpoint is over, by one answer to one of them', async () => {
+test('all entries receive the end of a limit within a second after one answer to one of them', async () => {
   const clock = clockAt(0);
   const fleet = new RelayedFleet(42, clock);
   fleet.entries[5]?.limits.noteNamed(ENDPOINT, 4);
@@ -171,7 +172,7 @@
   assert.ok([fleet.relay, ...fleet.entries].every((entry) => perS(entry.limits) === undefined));
 });
 
-test('the end of a limit reaches a relay that was down when it was first told', async () => {
+test('the end of a limit reaches a relay that was down when it was first sent', async () => {
   const clock = clockAt(0);
   const fleet = new RelayedFleet(3, clock);
   fleet.entries[0]?.limits.noteNamed(ENDPOINT, 4);
@@ -184,30 +185,30 @@
   assert.ok([fleet.relay, ...fleet.entries].every((entry) => perS(entry.limits) === undefined));
 });
 
-test('an entry that was told an end from before the limit was last named tells of the limit again', () => {
+test('an entry that receives an end older than its last observation announces the limit again', () => {
   const clock = clockAt(1000);
   const limits = limitsAt(clock);
-  const told = { endpoint: ENDPOINT.id, startedAtMs: ENDPOINT.startedAtMs, limitPerS: 4 };
+  const limit = { endpoint: ENDPOINT.id, startedAtMs: ENDPOINT.startedAtMs, limitPerS: 4 };
   limits.noteNamed(ENDPOINT, 4);
   limits.takePending();
-  limits.merge([{ ...told, namedAgoMs: 500, namedId: 1, endedAgoMs: 200, endedId: 2 }]);
+  limits.merge([{ ...limit, namedAgoMs: 500, namedId: 1, endedAgoMs: 200, endedId: 2 }]);
   assert.equal(perS(limits), 4);
   assert.deepEqual(limits.takePending(), [ENDPOINT.id]);
 });
 
-test('an observation that entries pass back and forth does not become newer', () => {
+test('an observation passed back and forth between entries does not become newer', () => {
   const clock = clockAt(0);
   const relay = limitsAt(clock);
   const entry = limitsAt(clock);
-  const pass = (from: KnownLimits, to: KnownLimits): void => {
-    const told = from.changesSince(0);
+  const send = (from: KnownLimits, to: KnownLimits): void => {
+    const update = from.changesSince(0);
     clock.atMs += 100;
-    to.merge(told);
+    to.merge(update);
   };
   relay.noteNamed(ENDPOINT, 4);
   for (let n = 0; n < 10; n += 1) {
-    pass(relay, entry);
-    pass(entry, relay);
+    send(relay, entry);
+    send(entry, relay);
   }
   assert.equal(relay.describe(ENDPOINT.id)?.namedAgoMs, 2000);
 });
--- a/test/core/backpressure/limit-share.test.ts
+++ b/test/core/backpressure/limit-share.test.ts
@@ -1,8 +1,8 @@
 /**
- * Story: an endpoint in need took 4 requests a second from all entries together, and 42 entries each held their own part to it.
- * Each had saved up one request in a quiet time, and when their callers came back all 42 were sent at once: 29 may come in 4 s.
- * The first test of the three ways states what each comes to; the way that is used never goes over the bound, whatever its
- * callers do.
+ * Guards against a burst of saved tokens. With a limit of 4 requests/s divided equally among 42
+ * entries, each entry had saved one token while idle, and all 42 requests were sent at once when
+ * callers returned; 29 are allowed in 4 s. The way of dividing that is used stays within the bound
+ * under any load.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,16 +26,16 @@
 const PLAY: LimitPlay = { seed: 1, entries: 6, endpoints: 3, limitPerS: 4, load: 2, seconds: 60 };
 const WAVES = { load: 6, waveS: 15 } as const;
 
-function most(way: LimitWay, play: Partial<LimitPlay>): number {
+function maxInWindow(way: LimitWay, play: Partial<LimitPlay>): number {
   const seeds = [1, 2, 3].map((seed) => playLimit({ ...PLAY, ...play, seed }, way).most);
   return Math.max(...seeds);
 }
 
-test('an equal share each goes over the bound when callers come back after a quiet time', () => {
-  assert.ok(most(LIMIT_WAYS['an equal share each'], { entries: 42, ...WAVES }) > bound(4));
+test('equal shares exceed the bound when callers return after an idle time', () => {
+  assert.ok(maxInWindow(LIMIT_WAYS['an equal share each'], { entries: 42, ...WAVES }) > bound(4));
 });
 
-test('never over the bound: any number of entries, load, spread of callers, waves, and views that differ', () => {
+test('the ring stays within the bound at any number of entries, load, distribution of callers, waves, and differing views', () => {
   const play = fc.record({
     seed: fc.nat(),
     entries: fc.constantFrom(1, 2, 6, 12, 16, 26, 27, 42, 100),
@@ -61,16 +61,17 @@
   );
 });
 
-test('the share that is used, by the number of entries: load of twice the limits, even and uneven', () => {
+test('most of the limits is used at a load of twice the limits, evenly and unevenly distributed', () => {
   const used = (play: Partial<LimitPlay>): number => playLimit({ ...PLAY, ...play }, WAY).used;
-  // Aimed at: 0.85 and 0.7. Many entries with few callers each do not reach it: only 26 of them may send to an endpoint at all.
+  // The targets are 0.85 and 0.7. Many entries with few callers each miss them, since only 26
+  // entries may send to one endpoint.
   assert.ok(used({ entries: 6 }) >= 0.85);
   assert.ok(used({ entries: 6, firstShare: 0.5 }) >= 0.7);
   assert.ok(used({ entries: 42, limitPerS: 20 }) >= 0.75);
   assert.ok(used({ entries: 42 }) >= 0.6);
 });
 
-test('the shares of all entries never add up to more than the limit', () => {
+test('the shares of all entries never exceed the limit in sum', () => {
   const facts = fc.record({
     limitPerS: fc.double({ min: 0.1, max: 50, noNaN: true }),
     count: fc.integer({ min: 1, max: 200 }),
@@ -91,36 +92,36 @@
   );
 });
 
-test('where there are more entries than may send, each of them sends to as many endpoints as the next one', () => {
+test('with more entries than may send to one endpoint, each sends to about the same number of endpoints', () => {
   const count = 100;
   const endpoints = 20;
-  const mine = Array.from({ length: count }, (_, place) => {
+  const endpointsPerEntry = Array.from({ length: count }, (_, place) => {
     const shares = Array.from({ length: endpoints }, (__, i) =>
       limitShare({ limitPerS: 1, sharers: { place, count }, ringPlace: i / endpoints }),
     );
     return shares.filter(({ perS }) => perS > 0).length;
   });
-  assert.ok(Math.min(...mine) >= 1);
-  assert.ok(Math.max(...mine) - Math.min(...mine) <= 1);
+  assert.ok(Math.min(...endpointsPerEntry) >= 1);
+  assert.ok(Math.max(...endpointsPerEntry) - Math.min(...endpointsPerEntry) <= 1);
 });
 
-test('an entry that does not know the others sends as if there were many', () => {
-  const stranger = limitShare({
+test('an entry that knows no peers assumes that there are many', () => {
+  const isolated = limitShare({
     limitPerS: 4,
     sharers: { place: undefined, count: ASSUMED_PEERS },
     ringPlace: 0,
   });
-  assert.deepEqual(stranger, { perS: 4 / ASSUMED_PEERS, saved: 1 });
+  assert.deepEqual(isolated, { perS: 4 / ASSUMED_PEERS, saved: 1 });
 });
 
-test('after a limit more and more is sent, not all at once', () => {
+test('the rate ramps up after the end of a limit', () => {
   const sharers = { place: 0, count: 10 };
   assert.equal(releasedShare(4, sharers, 0).perS, 0.4);
   assert.equal(releasedShare(4, sharers, 3000).perS, 3.2);
   assert.ok(releasedShare(0, sharers, 0).perS > 0);
 });
 
-test('a bucket starts anywhere between empty and one request, and holds no more than it may', () => {
+test('a bucket starts with a random part of one token and never exceeds its capacity', () => {
   const share = { perS: 0.5, saved: 1 };
   const empty = new TokenBucket(() => 0);
   assert.equal(empty.nextTokenAtMs(share, 0), 2000);
--- a/test/core/backpressure/read.test.ts
+++ b/test/core/backpressure/parse-signals.test.ts
@@ -1,12 +1,12 @@
-/** What answers ask for, and what is no such thing. */
+/** Parsing of backpressure signals, valid and invalid. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { readAsks, type AskTexts } from '../../../src/core/backpressure/index.js';
+import { readAsks, type SignalTexts } from '../../../src/core/backpressure/index.js';
 
-const NOTHING: AskTexts = { rest: undefined, leaving: undefined, limit: undefined };
+const NOTHING: SignalTexts = { rest: undefined, leaving: undefined, limit: undefined };
 
-test('an answer asks for rest in seconds with fractions, says that its endpoint leaves, names a limit', () => {
+test('an answer may request a backoff in seconds with fractions, announce leaving, and name a limit', () => {
   assert.equal(readAsks(503, { ...NOTHING, rest: '2.5' }).restMs, 2500);
   assert.equal(readAsks(503, { ...NOTHING, rest: ' 0 ' }).restMs, 0);
   assert.equal(readAsks(200, { ...NOTHING, leaving: '1' }).isLeaving, true);
@@ -19,7 +19,7 @@
   });
 });
 
-test('only an answer that turns a request away asks for rest', () => {
+test('only a 503 requests a backoff', () => {
   assert.equal(readAsks(429, { ...NOTHING, rest: '3' }).restMs, undefined);
   assert.equal(readAsks(200, { ...NOTHING, rest: '3' }).restMs, undefined);
 });
@@ -34,18 +34,18 @@
   '1,5',
   'Thu, 03 Dec 2026 07:00:00 GMT',
 ])
-  test(`"${text}" is neither a time nor a number of requests, and is named`, () => {
-    const asks = readAsks(503, { ...NOTHING, rest: text, limit: text });
-    assert.deepEqual(asks.unreadable, ['rest', 'limit']);
-    assert.equal(asks.restMs, undefined);
-    assert.equal(asks.limitPerS, undefined);
+  test(`"${text}" is neither a duration nor a rate, and is reported as unreadable`, () => {
+    const signals = readAsks(503, { ...NOTHING, rest: text, limit: text });
+    assert.deepEqual(signals.unreadable, ['rest', 'limit']);
+    assert.equal(signals.restMs, undefined);
+    assert.equal(signals.limitPerS, undefined);
   });
 
-test('a rest of more than an hour is not taken for meant', () => {
+test('a backoff of more than an hour is unreadable', () => {
   assert.deepEqual(readAsks(503, { ...NOTHING, rest: '3601' }).unreadable, ['rest']);
 });
 
-test('any text is read to a number that makes sense, or named', () => {
+test('any text is parsed to a valid number or reported as unreadable', () => {
   fc.assert(
     fc.property(fc.string(), (text) => {
       const { restMs, limitPerS, unreadable } = readAsks(503, {
--- a/test/core/backpressure/rate-limit-fleet.test.ts
+++ b/test/core/backpressure/rate-limit-fleet.test.ts
@@ -1,4 +1,4 @@
-/** Rate limits kept by many entries together, in virtual time with the real parts. */
+/** Rate limits across many entries, simulated in virtual time with the real components. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -23,11 +23,11 @@
   seconds: 50,
 };
 
-const play = (change: Partial<FleetPlay>): Promise<FleetOutcome> =>
+const simulate = (change: Partial<FleetPlay>): Promise<FleetOutcome> =>
   playFleet({ ...PLAY, ...change }, makeEntry);
 
 async function assertKept(change: Partial<FleetPlay>): Promise<void> {
-  const { most, excess } = await play(change);
+  const { most, excess } = await simulate(change);
   assert.ok(excess <= 0, `${most} requests in 4 s, ${excess.toFixed(1)} over the bound`);
 }
 
@@ -35,7 +35,7 @@
 const LARGE = { entries: 100, callersPerS: 600 } as const;
 const LOW = { entries: 7, limitAt: always(0.2), ...WAVES, callersPerS: 42, seconds: 70 } as const;
 
-/** Cases in which entries know the least of one another, or of the limit. */
+/** Cases in which entries know least about one another or about the limit. */
 const CASES: Readonly<Record<string, Partial<FleetPlay>>> = {
   '100 entries, steady load': LARGE,
   '42 idle entries resume at once': WAVES,
@@ -47,13 +47,13 @@
   'no relay at all': { ...WAVES, relays: 0 },
 };
 
-test('rate limits hold while entries are idle, restart, or lose sight of the relays', async () => {
-  const broken: string[] = [];
+test('rate limits hold while entries are idle, relays restart, or no relay can be reached', async () => {
+  const violations: string[] = [];
   for (const [name, change] of Object.entries(CASES)) {
-    const { most, excess } = await play(change);
-    if (excess > 0) broken.push(`${name}: ${most} requests in 4 s`);
+    const { most, excess } = await simulate(change);
+    if (excess > 0) violations.push(`${name}: ${most} requests in 4 s`);
   }
-  assert.deepEqual(broken, []);
+  assert.deepEqual(violations, []);
 });
 
 test('rate limits hold under random faults, sizes, loads and lost updates', async () => {
@@ -82,8 +82,8 @@
   );
 });
 
-test('rate limits are used, not only kept, at a load of twice the limit', async () => {
-  const wasted: string[] = [];
+test('rate limits are mostly used at a load of twice the limit', async () => {
+  const underused: string[] = [];
   for (const entries of [7, 42, 100])
     for (const limitPerS of [1, 4])
       for (const { firstShare, atLeast } of [
@@ -91,9 +91,14 @@
         { firstShare: 0.5, atLeast: 0.7 },
       ]) {
         const load = { endpoints: 3, callersPerS: 6 * limitPerS, firstShare };
-        const { used } = await play({ entries, limitAt: always(limitPerS), ...load, seconds: 66 });
+        const { used } = await simulate({
+          entries,
+          limitAt: always(limitPerS),
+          ...load,
+          seconds: 66,
+        });
         if (used < atLeast)
-          wasted.push(`${entries} entries, ${limitPerS}/s, ${firstShare}: ${used.toFixed(2)}`);
+          underused.push(`${entries} entries, ${limitPerS}/s, ${firstShare}: ${used.toFixed(2)}`);
       }
-  assert.deepEqual(wasted, []);
+  assert.deepEqual(underused, []);
 });
--- a/test/core/backpressure/relay-limiter.test.ts
+++ b/test/core/backpressure/relay-limiter.test.ts
@@ -1,4 +1,4 @@
-/** Rate limiters whose tokens relays grant. */
+/** Rate limiters whose tokens are granted by relays. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -18,7 +18,7 @@
 
 class Setup {
   atMs = 1000;
-  /** What each relay answers; none if it is not reached. */
+  /** Answer of each relay; missing if it cannot be reached. */
   readonly answers = new Map<string, TokenGrant>();
   readonly asked: string[] = [];
   readonly results: TokenResult[] = [];
@@ -48,14 +48,14 @@
   }
 }
 
-test('no relay is asked while no limit stands', async () => {
+test('no token is requested while no limit is in effect', async () => {
   const setup = new Setup(['a:1', 'b:1', 'c:1']);
   assert.ok(setup.isOpen);
   assert.ok(await setup.limiter.acquire());
   assert.deepEqual(setup.asked, []);
 });
 
-test('a token is had of the first relay that grants one, and of none when all deny it', async () => {
+test('a token is obtained from the first relay that grants one, and not at all if all deny it', async () => {
   const setup = new Setup(['a:1', 'b:1', 'c:1']);
   setup.limits.noteNamed(ENDPOINT, 4);
   for (const relay of setup.relays) setup.answers.set(relay, DENIED);
@@ -68,7 +68,7 @@
   assert.ok(await setup.limiter.acquire());
 });
 
-test('a relay that does not answer is not asked again at once, and the others are', async () => {
+test('a relay that does not answer gets no request for a while, the others do', async () => {
   const setup = new Setup(['a:1', 'b:1']);
   setup.limits.noteNamed(ENDPOINT, 4);
   setup.answers.set('a:1', GRANTED);
@@ -77,7 +77,7 @@
   assert.ok(!setup.results.includes('local'));
 });
 
-test('an entry that reaches no relay sends half of its part among 48', async () => {
+test('an entry that reaches no relay sends half of a 48th of the limit', async () => {
   const setup = new Setup(['a:1', 'b:1', 'c:1']);
   setup.limits.noteNamed(ENDPOINT, 4);
   let sent = 0;
@@ -87,7 +87,7 @@
   assert.ok(sent >= 9 && sent <= 11, `${sent} sent in 240 s`);
 });
 
-test('an idle entry saves no tokens for the time when it reaches no relay', async () => {
+test('an idle entry saves no tokens for a time without relays', async () => {
   const setup = new Setup(['a:1']);
   setup.limits.noteNamed(ENDPOINT, 4);
   setup.answers.set('a:1', DENIED);
@@ -97,7 +97,7 @@
   assert.equal(await setup.limiter.acquire(), false);
 });
 
-test('relays are asked at once when a limit is raised or ends', async () => {
+test('tokens are requested at once when a limit is raised or ends', async () => {
   const setup = new Setup(['a:1']);
   setup.limits.noteNamed(ENDPOINT, 1);
   setup.answers.set('a:1', { ...DENIED, retryMs: 20_000 });
@@ -113,7 +113,10 @@
   assert.ok(setup.isOpen);
 });
 
-/** Relays that entries ask for a token for an endpoint, by host; each knows them at a port of its own. */
+/**
+ * Hosts of the relays from which 30 entries request tokens of an endpoint; each uses a different
+ * port.
+ */
 function hostsAsked(endpoint: string): string[] {
   const hosts = new Set<string>();
   for (let port = 1; port <= 30; port += 1) {
@@ -139,7 +142,7 @@
   return [...hosts].sort();
 }
 
-test('all entries ask the same three relays for one endpoint, and others for another one', () => {
+test('all entries use the same three relays for one endpoint, and others for another endpoint', () => {
   assert.equal(hostsAsked('e-1').length, 3);
   assert.notDeepEqual(hostsAsked('e-1'), hostsAsked('e-2'));
 });
--- a/test/core/backpressure/token-grants.test.ts
+++ b/test/core/backpressure/token-grants.test.ts
@@ -1,4 +1,4 @@
-/** Tokens that relays grant. */
+/** Tokens granted by relays. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -17,7 +17,7 @@
   return { from, limit: { ...limit, ...change } };
 }
 
-test('a relay that starts grants nothing at once', () => {
+test('a relay grants nothing right after its start', () => {
   clock.atMs = 1000;
   const grants = grantsOf(1);
   const denied = grants.take(request('entry-1', 4));
@@ -27,7 +27,7 @@
   assert.ok(grants.take(request('entry-1', 4)).isGranted);
 });
 
-test('the parts of all relays stay within the bound of a limit, whatever is asked when', () => {
+test('the grants of all relays stay within the bound of a limit for any timing of requests', () => {
   const plays = fc.record({
     limitPerS: fc.constantFrom(0, 0.2, 1, 4, 20),
     shards: fc.integer({ min: 1, max: 3 }),
@@ -52,7 +52,7 @@
   );
 });
 
-test('denied entries ask less often the more of them compete', () => {
+test('denied entries request less often the more of them compete', () => {
   clock.atMs = 0;
   const grants = grantsOf(1);
   const first = grants.take(request('entry-0', 4)).retryMs ?? 0;
@@ -62,7 +62,7 @@
   assert.equal(last, 6250);
 });
 
-test('an endpoint whose limit is 0 gets a request now and then, whose answer tells when the limit ends', () => {
+test('an endpoint whose limit is 0 still gets occasional probes, whose answers show when the limit ends', () => {
   clock.atMs = 0;
   const grants = grantsOf(1);
   let granted = 0;
@@ -71,7 +71,7 @@
   assert.ok(granted >= 9 && granted <= 10, `${granted} granted`);
 });
 
-test('tokens are not needed once a limit has ended and its ramp is over', () => {
+test('every token is granted once a limit has ended and its ramp is over', () => {
   clock.atMs = 0;
   const grants = grantsOf(1);
   grants.take(request('entry-1', 1));
