--- a/src/core/limits/queue-terms.ts
+++ b/src/core/limits/queue-terms.ts
@@ -44,7 +44,7 @@
 
 /**
  * The terms of one caller.
- * @example queueTerms({ isReturning: false, priority: 1, targetMs: 500, leftMs: 8000 }).maxWaitMs // 62.5
+ * @example queueTerms({ isReturning: false, priority: 1, targetMs: 500, leftMs: 8000 }).waitMs // 62.5
  */
 export function turnTerms(caller: QueuedCaller): QueueTerms {
   const { isReturning, priority, targetMs, leftMs } = caller;
--- a/src/core/limits/stream-limit-estimator.ts
+++ b/src/core/limits/stream-limit-estimator.ts
@@ -156,7 +156,7 @@
  * count every 1.2 s, 0.02 of simulated callers are refused while the group has room, 0.23 before.
  * Using only the entry's streams at the time of the count would refuse 0.10 of the callers of a
  * group that is 0.7 full, since an entry that has few streams by chance keeps few slots.
- * @example estimateInFlight({ inFlight: 200, ageMs: 1000, ownAtCount: 5, ownNow: 8, entries: 40 }) // 253
+ * @example estimateInFlight({ running: 200, ageMs: 1000, ownAtCount: 5, ownNow: 8, entries: 40 }) // 253
  */
 export function runningNow({ running, ageMs, ownThen, own, entries }: GroupCount): number {
   const meanPerEntry = running / Math.max(1, entries);
@@ -189,7 +189,7 @@
 
 /**
  * Slots of this entry: its share of the limit, and of a part of the free slots.
- * @example slotsForEntry({ limit: 48, inFlight: 48, ageMs: 0, ownAtCount: 8, ownNow: 8, entries: 6 }) // 8
+ * @example slotsForEntry({ limit: 48, running: 48, ageMs: 0, ownAtCount: 8, ownNow: 8, entries: 6 }) // 8
  */
 export function placesOf(load: LimitedGroupCount): number {
   const running = runningNow(load);
--- a/test/core/backpressure/limit-share.test.ts
+++ b/test/core/backpressure/limit-share.test.ts
@@ -115,10 +115,10 @@
 });
 
 test('the rate ramps up after the end of a limit', () => {
-  const sharers = { place: 0, count: 10 };
-  assert.equal(releasedShare(4, sharers, 0).perS, 0.4);
-  assert.equal(releasedShare(4, sharers, 3000).perS, 3.2);
-  assert.ok(releasedShare(0, sharers, 0).perS > 0);
+  const peers = { place: 0, count: 10 };
+  assert.equal(releasedShare(4, peers, 0).perS, 0.4);
+  assert.equal(releasedShare(4, peers, 3000).perS, 3.2);
+  assert.ok(releasedShare(0, peers, 0).perS > 0);
 });
 
 test('a bucket starts with a random part of one token and never exceeds its capacity', () => {
