--- a/src/core/backpressure/limit-share.ts
+++ b/src/core/backpressure/limit-share.ts
@@ -48,7 +48,7 @@
 
 /**
  * The share of a limit that one entry may use.
- * @example limitShare({ limitPerS: 4, sharers: { place: 2, count: 6 }, ringPlace: 0 }).perS // 0.67
+ * @example limitShare({ limitPerS: 4, peers: { index: 2, count: 6 }, ringPosition: 0 }).perS // 0.67
  */
 export function limitShare({ limitPerS, sharers, ringPlace }: LimitShareInput): LimitShare {
   const { place, count } = sharers;
@@ -63,7 +63,7 @@
 
 /**
  * The share of one entry after the end of a limit: a ramp that doubles each second.
- * @example releasedShare(4, { place: 0, count: 6 }, 2000).perS // 2.67
+ * @example releasedShare(4, { index: 0, count: 6 }, 2000).perS // 2.67
  */
 export function releasedShare(
   limitPerS: number,
--- a/src/core/limits/queue-terms.ts
+++ b/src/core/limits/queue-terms.ts
@@ -22,7 +22,7 @@
 
 /** How a caller waits. */
 export interface QueueTerms {
-  /** Position class in the queue; lower goes first. */
+  /** Queue order; lower goes first, equal ones in order of arrival. */
   readonly order: number;
   /** Maximum time in the queue, ms. */
   readonly waitMs: number;
