--- a/src/core/limits/stream-limit-estimator.ts
+++ b/src/core/limits/stream-limit-estimator.ts
@@ -153,9 +153,10 @@
  * A count is up to 2 s old. When slots were based on it and on the entry's current streams, they
  * grew with each stream admitted: entries that knew of 34 streams gave out 2,045 slots at a limit
  * of 331, refused everyone 2 s later, and the group oscillated between 125 and 477 streams. With a
- * count every 1.2 s, 0.02 of simulated callers are refused while the group has room, 0.23 before.
- * Using only the entry's streams at the time of the count would refuse 0.10 of the callers of a
- * group that is 0.7 full, since an entry that has few streams by chance keeps few slots.
+ * count every 1.2 s that refused 0.23 of simulated callers while the group had room, the estimate
+ * refuses 0.02. Using only the entry's streams at the time of the count would refuse 0.10 of the
+ * callers of a group that is 0.7 full, since an entry that has few streams by chance keeps few
+ * slots.
  * @example estimateInFlight({ running: 200, ageMs: 1000, ownAtCount: 5, ownNow: 8, entries: 40 }) // 253
  */
 export function runningNow({ running, ageMs, ownThen, own, entries }: GroupCount): number {
