--- a/bench/harness/caller.ts
+++ b/bench/harness/caller.ts
@@ -1,6 +1,6 @@
 /** A caller as real ones are: asks an entry, and asks again elsewhere when it got no clear word. */
 import { request, type Dispatcher } from 'undici';
-import { EventSplitter } from '../../src/gateway/events.js';
+import { EventSplitter } from '../../src/gateway/event-splitter.js';
 import { MODEL, SERVICE, testKey } from './cluster-spec.js';
 
 /** What one ask came to. */
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,121 +1,134 @@
-/** One attempt at an endpoint: sends the request and reads the head of the answer. */
+/** One attempt at an endpoint: sends the request and checks the response headers. */
 import type { Dispatcher } from 'undici';
 import { errorText } from '../core/errors/index.js';
 import { Err, Ok, type Result } from '../core/result/index.js';
 import { wasNotSent, withStart } from './connect.js';
-import { SILENT_CONNECTION_MS } from './consts.js';
+import { STALLED_CONNECTION_MS } from './consts.js';
 import type { EndpointState } from './endpoints.js';
 import type { AnswerHead, AttemptFault, GatewayRequest, CallerInterface } from './types.js';
 
-/** An answer whose head has been read and checked; its body has yet to come. */
-export interface Answer {
+/** A response whose headers have been checked; its body has yet to be read. */
+export interface AttemptResponse {
   readonly head: AnswerHead;
   readonly body: Dispatcher.ResponseData['body'];
-  /** Closes the connection: nothing that still comes on it may be taken for another answer. */
-  readonly drop: () => void;
-  /** The same after a silence; the other connections that were open by then may be as dead. */
-  readonly dropSilent: (silentMs: number) => void;
+  /** Closes the connection: late bytes on it must not be taken for another response. */
+  readonly close: () => void;
+  /** Closes the connection after a stall; other open connections to the endpoint may be dead too. */
+  readonly closeStalled: (stalledMs: number) => void;
 }
 
-/** What an attempt needs to know. */
+/** Options of one attempt. */
 export interface AttemptOptions {
   readonly callers: CallerInterface;
   readonly request: GatewayRequest;
   readonly target: EndpointState;
-  /** Time that is left, ms. */
-  readonly leftMs: number;
+  /** Remaining time, ms. */
+  readonly remainingMs: number;
   readonly resumeAfter: number | undefined;
-  /** Time for the head of the answer, ms. */
-  readonly silenceMs: number;
-  /** Called with each head that comes, before it is checked. */
+  /** Timeout of the response headers, ms. */
+  readonly responseTimeoutMs: number;
+  /** Called with the response headers before they are checked. */
   readonly onHead: (head: AnswerHead) => void;
 }
 
-function fault(kind: AttemptFault['kind'], detail: string): Result<never, AttemptFault> {
+function attemptFault(kind: AttemptFault['kind'], detail: string): Result<never, AttemptFault> {
   return Err({ kind, detail });
 }
 
-/** What the head of an answer proves, before any byte of its body is used. */
+/** Checks the response headers before any byte of the body is used. */
 function checkHead(
   head: AnswerHead,
   request: GatewayRequest,
-  drop: () => void,
+  close: () => void,
 ): AttemptFault | undefined {
   const { restMs } = head.asks;
   if (head.isNotRun && restMs !== undefined)
-    return { kind: 'resting', detail: `endpoint answered ${head.status}, rest of ${restMs} ms` };
+    return { kind: 'resting', detail: `endpoint answered ${head.status}, backoff of ${restMs} ms` };
   if (head.isNotRun) return { kind: 'not-run', detail: `endpoint answered ${head.status}` };
   if (head.requestId !== undefined && head.requestId !== request.id) {
-    drop();
-    return { kind: 'broke', detail: 'the answer belongs to another request' };
+    close();
+    return { kind: 'broke', detail: 'the response belongs to another request' };
   }
-  const good = head.status >= 200 && head.status < 300;
-  if (good && (!head.isSigned || head.isEncoded || head.requestId === undefined)) {
-    drop();
-    return { kind: 'broke', detail: 'the answer is not signed, not identified, or encoded' };
+  const isSuccess = head.status >= 200 && head.status < 300;
+  if (isSuccess && (!head.isSigned || head.isEncoded || head.requestId === undefined)) {
+    close();
+    return {
+      kind: 'broke',
+      detail: 'the response is unsigned, lacks a request id, or has a content encoding',
+    };
   }
   return undefined;
 }
 
-function pathOf(callers: CallerInterface, request: GatewayRequest): string {
+function upstreamPathOf(callerApi: CallerInterface, request: GatewayRequest): string {
   const url = request.req.url ?? '/';
-  return callers.pathAt?.(url) ?? url;
+  return callerApi.pathAt?.(url) ?? url;
 }
 
 /**
- * Sends one attempt. An error tells whether the request may have run.
- * @example const sent = await sendAttempt(options); if (sent.ok) await relay(sent.val);
+ * Sends one attempt. The error kind tells whether the request may have run.
+ * @example const response = await sendAttempt(options); if (response.ok) await relay(response.val);
  */
-export async function sendAttempt(options: AttemptOptions): Promise<Result<Answer, AttemptFault>> {
-  const { callers, request, target } = options;
-  const ending = new AbortController();
-  const drop = (): void => ending.abort();
-  const onGone = (): void => ending.abort();
-  request.gone.addEventListener('abort', onGone, { once: true });
+export async function sendAttempt(
+  options: AttemptOptions,
+): Promise<Result<AttemptResponse, AttemptFault>> {
+  const { callers: callerApi, request, target } = options;
+  const abortController = new AbortController();
+  const close = (): void => abortController.abort();
+  const onDisconnect = (): void => abortController.abort();
+  request.gone.addEventListener('abort', onDisconnect, { once: true });
   const pool = target.connections.current;
-  const dropSilent = (silentMs: number): void => {
-    drop();
-    if (silentMs >= SILENT_CONNECTION_MS) target.connections.giveUp(pool);
+  const closeStalled = (stalledMs: number): void => {
+    close();
+    if (stalledMs >= STALLED_CONNECTION_MS) target.connections.giveUp(pool);
   };
-  let silent = false;
+  let hasTimedOut = false;
   const timer = setTimeout(() => {
-    silent = true;
-    dropSilent(options.silenceMs);
-  }, options.silenceMs);
-  let isHeldBack = false;
-  const holdBack = (): void => {
-    isHeldBack = true;
-    drop();
+    hasTimedOut = true;
+    closeStalled(options.responseTimeoutMs);
+  }, options.responseTimeoutMs);
+  let isBackingOff = false;
+  const cancelForBackoff = (): void => {
+    isBackingOff = true;
+    close();
   };
-  target.waiting.add(holdBack);
+  target.waiting.add(cancelForBackoff);
   try {
-    const res = await withStart(pool, () => target.waiting.delete(holdBack)).request({
+    const res = await withStart(pool, () => target.waiting.delete(cancelForBackoff)).request({
       method: request.req.method as Dispatcher.HttpMethod,
-      path: pathOf(callers, request),
-      headers: callers.writeAttempt(request.req.headers, {
+      path: upstreamPathOf(callerApi, request),
+      headers: callerApi.writeAttempt(request.req.headers, {
         requestId: request.id,
         endpoint: target.endpoint,
         organisation: request.organisation?.id,
-        deadlineMs: Math.max(1, Math.floor(options.leftMs)),
+        deadlineMs: Math.max(1, Math.floor(options.remainingMs)),
         resumeAfter: options.resumeAfter,
       }),
       body: request.body.length > 0 ? request.body : null,
-      signal: ending.signal,
+      signal: abortController.signal,
     });
-    // A body that breaks off while nobody reads it must not end the process.
+    // An unhandled error of an unread body would end the process.
     res.body.on('error', () => undefined);
-    const head = callers.readAnswer(res.statusCode, res.headers);
+    const head = callerApi.readAnswer(res.statusCode, res.headers);
     options.onHead(head);
-    const wrong = checkHead(head, request, drop);
-    if (!wrong) return Ok({ head, body: res.body, drop, dropSilent });
-    await res.body.dump().catch(() => drop());
-    return Err(wrong);
+    const headFault = checkHead(head, request, close);
+    if (!headFault) return Ok({ head, body: res.body, close, closeStalled });
+    await res.body.dump().catch(() => close());
+    return Err(headFault);
   } catch (err) {
-    if (silent) return fault('silent', `no answer within ${Math.round(options.silenceMs)} ms`);
-    if (isHeldBack) return fault('resting', 'the endpoint asked for rest before it was sent');
-    return fault(wasNotSent(err) ? 'not-run' : 'broke', errorText(err));
+    if (hasTimedOut)
+      return attemptFault(
+        'silent',
+        `no response within ${Math.round(options.responseTimeoutMs)} ms`,
+      );
+    if (isBackingOff)
+      return attemptFault(
+        'resting',
+        'the endpoint requested a backoff before the request was sent',
+      );
+    return attemptFault(wasNotSent(err) ? 'not-run' : 'broke', errorText(err));
   } finally {
-    target.waiting.delete(holdBack);
+    target.waiting.delete(cancelForBackoff);
     clearTimeout(timer);
   }
 }
--- a/src/gateway/attempts.ts
+++ b/src/gateway/attempts.ts
@@ -1,115 +1,123 @@
-/** The attempts of one request: which endpoint, for how long, and whether another one follows. */
-import { noteAsks } from './asked.js';
+/** The attempts of one request: chooses endpoints and timeouts, and decides on retries. */
+import { recordSignals } from './backpressure-signals.js';
 import { sendAttempt } from './attempt.js';
-import { acquireEndpoint, chooseOtherGroup } from './choose.js';
-import { ELSEWHERE_RETRY_S, SILENCE_FACTOR, STREAM_SILENCE_MS } from './consts.js';
-import { deliver, MIN_ERROR_STATUS } from './deliver.js';
+import { acquireEndpoint, chooseOtherGroup } from './choose-endpoint.js';
+import { ELSEWHERE_RETRY_S, RETRY_TIMEOUT_FACTOR, STREAM_IDLE_TIMEOUT_MS } from './consts.js';
+import { deliverResponse, MIN_SERVER_ERROR_STATUS } from './deliver.js';
 import type { EndpointState } from './endpoints.js';
 import {
-  giveUp,
-  hasBudget,
-  leftMs,
-  mayTryAgain,
-  noteFault,
-  refused,
+  failureOutcome,
+  hasRetryBudget,
+  remainingMs,
+  mayRetry,
+  recordFault,
+  refuseWith,
   type RequestEnd,
-  type Work,
-} from './work.js';
+  type ActiveRequest,
+} from './active-request.js';
 
-/** Timeout of the head of an answer, ms. */
-function silenceMs(work: Work): number {
-  const { route } = work.request;
-  const left = leftMs(work);
-  if (route.kind === 'once') return left;
-  if (route.kind === 'stream') return Math.min(left, STREAM_SILENCE_MS);
+/** Timeout of the response headers, ms. */
+function responseTimeoutMs(active: ActiveRequest): number {
+  const { route } = active.request;
+  const remaining = remainingMs(active);
+  if (route.kind === 'once') return remaining;
+  if (route.kind === 'stream') return Math.min(remaining, STREAM_IDLE_TIMEOUT_MS);
   // The last attempt may use all of the remaining time.
-  const isLast = work.tried.size >= route.maxAttempts;
-  return isLast ? left : Math.min(left, route.targetMs * SILENCE_FACTOR);
+  const isLast = active.tried.size >= route.maxAttempts;
+  return isLast ? remaining : Math.min(remaining, route.targetMs * RETRY_TIMEOUT_FACTOR);
 }
 
 /** Runs one attempt. Returns undefined if the request may be retried. */
-async function tryOnce(work: Work, target: EndpointState): Promise<RequestEnd | undefined> {
-  const { ctx, request, progress } = work;
-  work.tried.add(target.endpoint.id);
+async function runAttempt(
+  active: ActiveRequest,
+  target: EndpointState,
+): Promise<RequestEnd | undefined> {
+  const { ctx, request, progress } = active;
+  active.tried.add(target.endpoint.id);
   const eventsBefore = progress.events;
   const sentAtMs = ctx.endpoints.noteSent(target);
   try {
-    const sent = await sendAttempt({
+    const response = await sendAttempt({
       callers: ctx.callers,
       request,
       target,
-      leftMs: leftMs(work),
-      resumeAfter: progress.lastId,
-      silenceMs: silenceMs(work),
-      onHead: (head) => noteAsks(work, target, head, sentAtMs),
+      remainingMs: remainingMs(active),
+      resumeAfter: progress.lastEventId,
+      responseTimeoutMs: responseTimeoutMs(active),
+      onHead: (head) => recordSignals(active, target, head, sentAtMs),
     });
-    if (sent.err) {
-      noteFault(work, target, sent.val);
-      await ctx.crashes.noteFault(request, target.endpoint, sent.val);
+    if (response.err) {
+      recordFault(active, target, response.val);
+      await ctx.crashes.recordFault(request, target.endpoint, response.val);
       return undefined;
     }
-    const end = await deliver(work, target, sent.val, sentAtMs);
-    if (end?.kind === 'answered' && end.status < MIN_ERROR_STATUS) ctx.crashes.noteGoodEnd(request);
-    // What has brought events was running well: another request that had just begun is to be suspected.
-    const hasBegun = progress.events > eventsBefore || request.route.kind !== 'stream';
-    if (!end && work.lastFault && !hasBegun)
-      await ctx.crashes.noteFault(request, target.endpoint, work.lastFault);
-    return end;
+    const outcome = await deliverResponse(active, target, response.val, sentAtMs);
+    if (outcome?.kind === 'answered' && outcome.status < MIN_SERVER_ERROR_STATUS)
+      ctx.crashes.recordSuccess(request);
+    // A stream that produced events ran well: a request that had just started caused the crash.
+    const hasProgressed = progress.events > eventsBefore || request.route.kind !== 'stream';
+    if (!outcome && active.lastFault && !hasProgressed)
+      await ctx.crashes.recordFault(request, target.endpoint, active.lastFault);
+    return outcome;
   } finally {
     ctx.endpoints.noteEnded(target, sentAtMs);
   }
 }
 
 /**
- * After a fault goes on in another group, where one serves: ranks of one group fail together. A caller that
- * has part of its stream would lose it, and goes on whether there is room or not.
+ * Moves the request to another group after a fault, if one is available: ranks of a group fail
+ * together. A stream that has begun takes a slot even if none is free, since it would be lost
+ * otherwise.
  */
-function changeGroup(work: Work): void {
-  const { place } = work;
-  const next = chooseOtherGroup(work);
-  if (!place || !next) return;
-  if (!next.turns.queue.takeNow(work.progress.events > 0)) return;
-  place.turns.queue.release();
-  work.place = next;
+function switchGroup(active: ActiveRequest): void {
+  const { group } = active;
+  const next = chooseOtherGroup(active);
+  if (!group || !next) return;
+  if (!next.turns.queue.takeNow(active.progress.events > 0)) return;
+  group.turns.queue.release();
+  active.group = next;
 }
 
-/** The refusal of a request that crashes endpoints; it does not claim "not run" if an attempt may have run. */
-export function refuseCrashing(work: Work): RequestEnd {
-  if (work.mayHaveRun) return giveUp(work);
-  return refused('crashes-endpoints', 'endpoints that began to run the same request crashed');
+/** Refuses a request that crashes endpoints, without claiming "not run" if it may have run. */
+export function refuseCrashingRequest(active: ActiveRequest): RequestEnd {
+  if (active.mayHaveRun) return failureOutcome(active);
+  return refuseWith(
+    'crashes-endpoints',
+    'endpoints crashed after they began to run the same request',
+  );
 }
 
 /**
- * Tries one endpoint after the other, as far as the route and the budget of retries allow.
- * @example const end = await runAttempts(work);
+ * Tries one endpoint after the other, as the route and the retry budget allow.
+ * @example const outcome = await runAttempts(active);
  */
-export async function runAttempts(work: Work): Promise<RequestEnd> {
-  const { ctx, request, service } = work;
+export async function runAttempts(active: ActiveRequest): Promise<RequestEnd> {
+  const { ctx, request, service } = active;
   service.budget.deposit();
   for (;;) {
-    if (ctx.crashes.isRefused(request)) return refuseCrashing(work);
-    const target = await acquireEndpoint(work);
+    if (ctx.crashes.isRefused(request)) return refuseCrashingRequest(active);
+    const target = await acquireEndpoint(active);
     if (request.gone.aborted) return { kind: 'gone' };
-    if (!target) return giveUp(work);
+    if (!target) return failureOutcome(active);
     if (!request.route.isPublic && !ctx.keysProved()) {
-      // The wait for a turn or an earlier attempt may have outlasted the proof.
-      if (work.mayHaveRun) return giveUp(work);
-      return refused(
+      // The freshness check may have expired while the request was queued or attempted.
+      if (active.mayHaveRun) return failureOutcome(active);
+      return refuseWith(
         'proof-old',
-        'the proof lapsed before the request was sent',
+        'the freshness check of the configuration expired before the request was sent',
         ELSEWHERE_RETRY_S,
       );
     }
-    const end = await tryOnce(work, target);
-    if (end) return end;
+    const outcome = await runAttempt(active, target);
+    if (outcome) return outcome;
     if (request.gone.aborted) return { kind: 'gone' };
-    if (!mayTryAgain(work)) return giveUp(work);
-    if (!hasBudget(work)) return giveUp(work);
+    if (!mayRetry(active)) return failureOutcome(active);
+    if (!hasRetryBudget(active)) return failureOutcome(active);
     service.budget.withdraw();
-    changeGroup(work);
+    switchGroup(active);
     ctx.metrics.count('retries_total', {
       service: service.id,
-      reason: work.lastFault?.kind ?? 'none',
+      reason: active.lastFault?.kind ?? 'none',
     });
   }
 }
--- /dev/null
+++ b/src/gateway/choose-endpoint.ts
@@ -0,0 +1,76 @@
+/** Chooses the endpoint of a request's next attempt. */
+import type { EndpointId } from '../core/ids/index.js';
+import type { PublishedEndpoint } from '../core/published/index.js';
+import { MAX_TOKEN_WAIT_MS } from './consts.js';
+import type { EndpointState } from './endpoints.js';
+import type { GroupTurns } from './service-groups.js';
+import type { ActiveRequest } from './active-request.js';
+
+const NO_ENDPOINTS: ReadonlySet<EndpointId> = new Set();
+
+/**
+ * The best endpoint for the next attempt, within the group in which the request holds a slot;
+ * undefined if none is available. Endpoints in `denied` are skipped.
+ */
+export function chooseEndpoint(
+  active: ActiveRequest,
+  denied = NO_ENDPOINTS,
+): EndpointState | undefined {
+  const { ctx, group, service, tried } = active;
+  const isInGroup = (endpoint: PublishedEndpoint): boolean =>
+    !group || (service.groups?.isIn(endpoint, group.id) ?? true);
+  return ctx.endpoints.choose(
+    service.id,
+    tried,
+    (endpoint) => !denied.has(endpoint.id) && isInGroup(endpoint),
+  );
+}
+
+/**
+ * The best endpoint for the next attempt, with a token of its rate limit; undefined if no token is
+ * available soon or the caller disconnects meanwhile.
+ */
+export async function acquireEndpoint(active: ActiveRequest): Promise<EndpointState | undefined> {
+  const { ctx, request } = active;
+  const denied = new Set<EndpointId>();
+  const untilMs = ctx.ageClock.nowMs() + MAX_TOKEN_WAIT_MS;
+  do {
+    const target = chooseEndpoint(active, denied);
+    if (!target) return undefined;
+    const hasToken = await target.gate.acquire();
+    if (request.gone.aborted) return undefined;
+    // A backoff or the probe by another request may have begun meanwhile.
+    if (hasToken && target.gate.mayProbe(ctx.ageClock.nowMs())) return target;
+    denied.add(target.endpoint.id);
+    if (!hasToken) recordDenied(active, target);
+  } while (ctx.ageClock.nowMs() < untilMs);
+  return undefined;
+}
+
+function recordDenied(active: ActiveRequest, { endpoint, gate }: EndpointState): void {
+  const { ctx, request, service } = active;
+  active.isRateLimited = true;
+  const untilMs = Math.round(gate.opening(ctx.ageClock.nowMs()).atMs - ctx.ageClock.nowMs());
+  ctx.metrics.count('rate_limit_denied_total', { service: service.id });
+  ctx.log.info('rate-limit.denied', { request: request.id, endpoint: endpoint.id, untilMs });
+}
+
+/** A group other than the request's own; undefined if none is available. */
+export function chooseOtherGroup({
+  ctx,
+  group,
+  service,
+  tried,
+}: ActiveRequest): GroupTurns | undefined {
+  const next = group && service.groups?.choose(tried, group.id);
+  return next?.turns.outage.isOut(ctx.ageClock.nowMs()) ? undefined : next;
+}
+
+/**
+ * Whether another endpoint or group is available: without one, aborting a slow stream gains
+ * nothing.
+ * @example if (isSlow && hasAlternative(active)) switchEndpoint();
+ */
+export function hasAlternative(active: ActiveRequest): boolean {
+  return chooseEndpoint(active) !== undefined || chooseOtherGroup(active) !== undefined;
+}
--- a/src/gateway/consts.ts
+++ b/src/gateway/consts.ts
@@ -1,59 +1,62 @@
-/** Constants of the gateway. */
+/** Timeouts, limits and retry delays of the gateway. */
 
 /** Timeout of opening a connection to an endpoint, ms. */
 export const CONNECT_MS = 400;
 /** Idle timeout of a connection to an endpoint that names none itself, ms. */
 export const IDLE_CONNECTION_MS = 4000;
-/** Time after which no further endpoint's relays are asked for a token, ms: a caller is refused early rather than late. */
+/** Time after which no further rate-limit token is requested, ms; refuses callers early. */
 export const MAX_TOKEN_WAIT_MS = 100;
 /** Maximum number of connections from one entry to one endpoint. */
 export const MAX_CONNECTIONS = 32;
-/** Number of entries assumed to share an endpoint's connections. */
+/** Number of entries assumed to connect to the same endpoint. */
 export const CONNECTION_SHARERS = 12;
 
 /** Deadline of requests that name none, ms. */
 export const DEFAULT_DEADLINE_MS = 60_000;
-/** Time kept free before the deadline for writing the final answer, ms. */
+/** Time reserved before the deadline for writing the final response, ms. */
 export const FINAL_ANSWER_MS = 20;
 /** Remaining time below which no further attempt is made, ms. */
-export const MIN_ATTEMPT_MS = 60;
+export const MIN_ATTEMPT_TIME_MS = 60;
 /** Multiple of the target latency after which a repeatable request is retried elsewhere. */
-export const SILENCE_FACTOR = 1.3;
-/** Idle timeout of a stream before it is resumed on another endpoint, ms; below the callers' own 2 s. */
-export const STREAM_SILENCE_MS = 1250;
-/** Open connections to an endpoint that has been silent this long are not reused, ms: they may be half-open. */
-export const SILENT_CONNECTION_MS = 250;
-/** Largest answer that is not streamed, bytes. */
-export const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+export const RETRY_TIMEOUT_FACTOR = 1.3;
+/** Idle timeout before a stream is resumed on another endpoint, ms; callers time out after 2 s. */
+export const STREAM_IDLE_TIMEOUT_MS = 1250;
+/** Stall after which open connections to an endpoint are not reused, ms: may be half-open. */
+export const STALLED_CONNECTION_MS = 250;
+/** Maximum size of a response that is not streamed, bytes. */
+export const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /**
- * Safety margin of the time for which keys are honoured without a new proof, ms: covers a watch that was silent before its
- * history was dropped, and requests under way.
+ * Safety margin of the time for which keys are accepted without a new freshness check, ms: covers a
+ * watch that stalled before its history was dropped, and requests in flight.
  */
 export const KEY_PROOF_MARGIN_MS = 1500;
 
 /** Retry-After range when saturated, s; randomised to spread retries. */
-export const BUSY_RETRY_S = { least: 1.0, most: 2.5 } as const;
+export const BUSY_RETRY_S = { min: 1.0, max: 2.5 } as const;
 /**
- * Retry-After range while no endpoint of a group serves, s: a group that lost a rank is back after seconds, and callers wait for
- * a third of their remaining time at most.
+ * Retry-After range while no endpoint of a group is available, s: a group that lost a rank recovers
+ * within seconds, and callers wait for at most a third of their remaining time.
  */
-export const OUTAGE_RETRY_S = { least: 2.1, most: 2.6 } as const;
+export const OUTAGE_RETRY_S = { min: 2.1, max: 2.6 } as const;
 
-/** Random addition to Retry-After while all endpoints are in backoff, s; spreads retries. */
-export const REST_RETRY_SPREAD_S = 0.5;
+/** Maximum jitter added to Retry-After while all endpoints are backing off, s; spreads retries. */
+export const BACKOFF_RETRY_JITTER_S = 0.5;
 
-/** Retry-After if another entry can serve at once, s. */
+/** Retry-After if another entry can serve the request immediately, s. */
 export const ELSEWHERE_RETRY_S = 0.05;
 
-/** Number of entries assumed to share the retry allowance until a group tells how many there are. */
+/** Minimum number of entries assumed to share the retry budget; a group may report more. */
 export const RETRY_SHARERS = 48;
-/** Part of the shared retry ratio that is used; the rest covers windows that do not align. */
+/** Fraction of the retry share that is used; the rest covers unaligned windows of the entries. */
 export const RETRY_SHARE_USED = 0.7;
 
-/** Time after SIGTERM in which new requests are served, ms; the balancer removes the entry meanwhile. */
+/**
+ * Time after SIGTERM in which new requests are served, ms; meanwhile the platform's balancer removes
+ * the entry.
+ */
 export const STOP_SERVING_MS = 2500;
-/** Time before SIGKILL at which requests under way are aborted, ms. */
+/** Time before SIGKILL at which requests in flight are aborted, ms. */
 export const STOP_CUT_MS = 700;
 /** Polling period of a stopping entry, ms. */
 export const STOP_POLL_MS = 50;
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -4,7 +4,7 @@
 import type { EngineInfo, PublishedEndpoint, ServiceId } from '../core/published/index.js';
 import { RetryBudget } from '../core/retry/index.js';
 import { KEY_PROOF_MARGIN_MS, RETRY_SHARERS, RETRY_SHARE_USED } from './consts.js';
-import { CrashWatch } from './crash-watch.js';
+import { CrashWatch } from './crash-detector.js';
 import { Endpoints, type EndpointParts } from './endpoints.js';
 import type { GroupId } from '../core/ids/index.js';
 import type { CrashNews, EndpointProcess } from '../generated/messages.types.js';
--- a/src/gateway/deliver.ts
+++ b/src/gateway/deliver.ts
@@ -1,95 +1,102 @@
-/** Passes the answer to one attempt on to the caller. */
-import type { Answer } from './attempt.js';
-import { hasElsewhere } from './choose.js';
-import { STREAM_SILENCE_MS } from './consts.js';
+/** Forwards the response of one attempt to the caller. */
+import type { AttemptResponse } from './attempt.js';
+import { hasAlternative } from './choose-endpoint.js';
+import { STREAM_IDLE_TIMEOUT_MS } from './consts.js';
 import type { EndpointState } from './endpoints.js';
-import { relayStream, type StreamEnd } from './relay-stream.js';
-import { readWhole } from './relay-whole.js';
-import { hasBudget, leftMs, mayTryAgain, noteFault, type RequestEnd, type Work } from './work.js';
+import { relayStream, type StreamOutcome } from './relay-stream.js';
+import { readFullResponse } from './read-response.js';
+import {
+  hasRetryBudget,
+  remainingMs,
+  mayRetry,
+  recordFault,
+  type RequestEnd,
+  type ActiveRequest,
+} from './active-request.js';
 
-/** Statuses that promise that a request has not run. */
+/** Statuses by which a caller may conclude that the request has not run. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
-/** Least status by which an endpoint says that it failed. */
-export const MIN_ERROR_STATUS = 500;
+/** Lowest status that means a failure of the endpoint. */
+export const MIN_SERVER_ERROR_STATUS = 500;
 
-async function deliverWhole(
-  work: Work,
+async function deliverBuffered(
+  active: ActiveRequest,
   target: EndpointState,
-  answer: Answer,
+  response: AttemptResponse,
 ): Promise<RequestEnd | undefined> {
-  const { request } = work;
-  const { status } = answer.head;
-  const body = await readWhole(answer, leftMs(work));
+  const { request } = active;
+  const { status } = response.head;
+  const body = await readFullResponse(response, remainingMs(active));
   if (body.err) {
-    noteFault(work, target, body.val);
+    recordFault(active, target, body.val);
     return undefined;
   }
-  if (status >= MIN_ERROR_STATUS || NOT_RUN_STATUSES.has(status)) {
-    noteFault(work, target, { kind: 'broke', detail: `endpoint answered ${status}` });
-    // A status that promises too much is not passed on; any other failure is, when no try is left.
+  if (status >= MIN_SERVER_ERROR_STATUS || NOT_RUN_STATUSES.has(status)) {
+    recordFault(active, target, { kind: 'broke', detail: `endpoint answered ${status}` });
+    // A status that wrongly claims "not run" is never forwarded; others are after the last attempt.
     if (NOT_RUN_STATUSES.has(status)) return undefined;
-    if (mayTryAgain(work) && hasBudget(work)) return undefined;
+    if (mayRetry(active) && hasRetryBudget(active)) return undefined;
   } else {
-    work.note.tries.push(`${target.endpoint.id}:${status}`);
+    active.summary.tries.push(`${target.endpoint.id}:${status}`);
   }
   if (request.res.destroyed) return { kind: 'gone' };
-  request.res.writeHead(status, { ...answer.head.headers, 'content-length': body.val.length });
+  request.res.writeHead(status, { ...response.head.headers, 'content-length': body.val.length });
   request.res.end(body.val);
   return { kind: 'answered', status };
 }
 
 async function deliverStream(
-  work: Work,
+  active: ActiveRequest,
   target: EndpointState,
-  answer: Answer,
+  response: AttemptResponse,
   sentAtMs: number,
 ): Promise<RequestEnd | undefined> {
-  const { ctx, request, progress, service } = work;
-  const { status } = answer.head;
-  if (status < 200 || status >= 300) return deliverWhole(work, target, answer);
-  const end: StreamEnd = await relayStream(
+  const { ctx, request, progress, service } = active;
+  const { status } = response.head;
+  if (status < 200 || status >= 300) return deliverBuffered(active, target, response);
+  const outcome: StreamOutcome = await relayStream(
     {
       res: request.res,
       progress,
       nowMs: () => ctx.clock.nowMs(),
-      silenceMs: STREAM_SILENCE_MS,
-      leftMs: () => leftMs(work),
-      shouldMove: () =>
+      idleTimeoutMs: STREAM_IDLE_TIMEOUT_MS,
+      remainingMs: () => remainingMs(active),
+      shouldSwitchEndpoint: () =>
         ctx.endpoints.isSlow(target) &&
-        mayTryAgain(work) &&
+        mayRetry(active) &&
         service.budget.canWithdraw() &&
-        hasElsewhere(work),
-      onFirst: () => {
+        hasAlternative(active),
+      onFirstEvent: () => {
         const nowMs = ctx.clock.nowMs();
-        work.note.firstMs ??= nowMs - request.arrivedAtMs;
+        active.summary.firstMs ??= nowMs - request.arrivedAtMs;
         ctx.endpoints.noteGood(target, sentAtMs);
-        work.place?.turns.outage.noteGood();
+        active.group?.turns.outage.noteGood();
       },
-      onPause: (pauseMs) => work.place?.turns.notePause(pauseMs),
+      onPause: (pauseMs) => active.group?.turns.notePause(pauseMs),
     },
-    answer,
+    response,
   );
-  if (end.kind === 'whole') {
-    work.note.tries.push(`${target.endpoint.id}:whole`);
+  if (outcome.kind === 'whole') {
+    active.summary.tries.push(`${target.endpoint.id}:whole`);
     request.res.end();
     return { kind: 'answered', status };
   }
   if (request.gone.aborted) return { kind: 'gone' };
-  noteFault(work, target, end);
+  recordFault(active, target, outcome);
   return undefined;
 }
 
-/** Passes an answer on whose head has come. */
-export async function deliver(
-  work: Work,
+/** Forwards a response whose headers have been checked. */
+export async function deliverResponse(
+  active: ActiveRequest,
   target: EndpointState,
-  answer: Answer,
+  response: AttemptResponse,
   sentAtMs: number,
 ): Promise<RequestEnd | undefined> {
-  const { ctx, request } = work;
-  if (request.route.kind === 'stream') return deliverStream(work, target, answer, sentAtMs);
-  const end = await deliverWhole(work, target, answer);
-  if (end?.kind === 'answered' && end.status < MIN_ERROR_STATUS)
+  const { ctx, request } = active;
+  if (request.route.kind === 'stream') return deliverStream(active, target, response, sentAtMs);
+  const outcome = await deliverBuffered(active, target, response);
+  if (outcome?.kind === 'answered' && outcome.status < MIN_SERVER_ERROR_STATUS)
     ctx.endpoints.noteGood(target, sentAtMs);
-  return end;
+  return outcome;
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -18,7 +18,7 @@
 import type { GatewayContext } from './context.js';
 import { refuse, type Refusal } from './refuse.js';
 import { serveRequest } from './serve-request.js';
-import type { RequestEnd, RequestNote } from './work.js';
+import type { RequestEnd, RequestNote } from './active-request.js';
 import type { CallerHead, GatewayRequest } from './types.js';
 
 /** The running gateway. */
--- a/src/gateway/process.ts
+++ b/src/gateway/process.ts
@@ -26,7 +26,7 @@
 import { relayPlace } from '../runtime/relays.js';
 import { watchSettings } from '../runtime/settings-watch.js';
 import { STOP_CUT_MS, STOP_POLL_MS, STOP_SERVING_MS } from './consts.js';
-import { takeLeaving } from './asked.js';
+import { takeLeaving } from './backpressure-signals.js';
 import { createContext, type GatewayContext } from './context.js';
 import { createGateway, type Gateway } from './gateway.js';
 import { GroupSight } from './group-sight.js';
--- a/src/gateway/refuse.ts
+++ b/src/gateway/refuse.ts
@@ -1,4 +1,4 @@
-/** Final answers of the entry's own: what they promise must be true. */
+/** Final responses created by the entry; "not run" is claimed only if it is certain. */
 import type { ServerResponse } from 'node:http';
 import {
   ERROR_KINDS,
@@ -10,20 +10,20 @@
 } from '../core/errors/index.js';
 import type { Metrics } from '../core/metrics/index.js';
 
-/** A final answer of our own. */
+/** A refusal or failure that the entry reports to the caller. */
 export interface Refusal {
   readonly reason: Reason;
-  /** What was seen, for the log and the caller. */
+  /** Cause of the refusal, for the log and the caller. */
   readonly detail: string;
-  /** When to come back, s; undefined for what the reason says. */
+  /** Retry-After, s; undefined for the default of the reason. */
   readonly retryAfterS?: number;
-  /** Whether the connection is closed, so that the caller comes back to another entry. */
+  /** Whether to close the connection, so that the caller's retry reaches another entry. */
   readonly close?: boolean;
 }
 
 /**
- * Writes a final answer of our own; false when the caller is no longer there to get it.
- * @example refuse(res, metrics, { reason: 'busy', detail: '8 of 8 places', retryAfterS: 1 });
+ * Writes a refusal as the final response; returns false if it can no longer be sent.
+ * @example sendRefusal(res, metrics, { reason: 'busy', detail: '8 of 8 slots taken' });
  */
 export function refuse(res: ServerResponse, metrics: Metrics, refusal: Refusal): boolean {
   const { reason, detail, retryAfterS, close } = refusal;
@@ -33,15 +33,15 @@
     res.destroy();
     return false;
   }
-  const make = outcome === 'unknown' ? unknown : notRun;
-  const problem = toProblem(make(reason, detail, retryAfterS));
-  const text = JSON.stringify(problem);
+  const makeError = outcome === 'unknown' ? unknown : notRun;
+  const problem = toProblem(makeError(reason, detail, retryAfterS));
+  const body = JSON.stringify(problem);
   res.writeHead(ERROR_KINDS[reason].status, {
     'content-type': 'application/problem+json',
-    'content-length': Buffer.byteLength(text),
+    'content-length': Buffer.byteLength(body),
     ...(problem.retryAfterS !== undefined && { 'retry-after': problem.retryAfterS.toFixed(2) }),
     ...(close && { connection: 'close' }),
   });
-  res.end(text);
+  res.end(body);
   return true;
 }
--- a/src/gateway/relay-stream.ts
+++ b/src/gateway/relay-stream.ts
@@ -1,108 +1,118 @@
-/** Streams: each event is passed on as it comes, in order and once; what breaks may go on elsewhere. */
+/**
+ * Relays event streams: each event is forwarded immediately, in order and exactly once. A broken
+ * stream may be resumed on another endpoint.
+ */
 import { once } from 'node:events';
 import type { ServerResponse } from 'node:http';
 import { errorText } from '../core/errors/index.js';
-import type { Answer } from './attempt.js';
-import { EventSplitter, type StreamEvent } from './events.js';
+import type { AttemptResponse } from './attempt.js';
+import { EventSplitter, type StreamEvent } from './event-splitter.js';
 
-/** One caller's stream, over all attempts that fed it. */
+/** Progress of a caller's stream over all attempts. */
 export interface StreamProgress {
-  /** Id of the last event that the caller has; undefined before the first. */
-  lastId: number | undefined;
-  /** Events written to the caller. */
+  /** Id of the last event written to the caller; undefined before the first. */
+  lastEventId: number | undefined;
+  /** Number of events written to the caller. */
   events: number;
   /** Monotonic time of the last event, ms. */
-  lastAtMs: number;
+  lastEventAtMs: number;
   /** Longest pause between two events, ms. */
   longestPauseMs: number;
 }
 
-/** How one connection's part of a stream ended. */
-export type StreamEnd =
+/** How one attempt's part of a stream ended. */
+export type StreamOutcome =
   | { readonly kind: 'whole' }
   | { readonly kind: 'broke'; readonly detail: string }
   | { readonly kind: 'silent'; readonly detail: string }
   | { readonly kind: 'slow'; readonly detail: string };
 
-/** What relaying needs. */
-export interface StreamRelay {
+/** Options of relaying one attempt's part of a stream. */
+export interface StreamRelayOptions {
   readonly res: ServerResponse;
   readonly progress: StreamProgress;
   readonly nowMs: () => number;
-  /** Longest time without an event, ms. */
-  readonly silenceMs: number;
-  /** Time after which the stream is cut, whatever comes, ms. */
-  readonly leftMs: () => number;
-  /** Whether the stream had better go on at another endpoint; asked after each event. */
-  readonly shouldMove: () => boolean;
-  /** Called at the first event of each connection, with the time the stream had waited for it. */
-  readonly onFirst: () => void;
+  /** Timeout between two events, ms. */
+  readonly idleTimeoutMs: number;
+  /** Time until the deadline of the request, ms. */
+  readonly remainingMs: () => number;
+  /** Whether to resume the stream on another endpoint; called after each chunk. */
+  readonly shouldSwitchEndpoint: () => boolean;
+  /** Called at the first event of each attempt. */
+  readonly onFirstEvent: () => void;
   /** Called at each later event with the pause before it, ms. */
   readonly onPause: (pauseMs: number) => void;
 }
 
-/** Whether an event may follow what the caller has; ids rise one by one. */
-function isNext(event: StreamEvent, lastId: number | undefined): boolean {
+/** Whether an event is the next one for the caller; ids are consecutive. */
+function isNextEvent(event: StreamEvent, lastEventId: number | undefined): boolean {
   if (event.id === undefined) return false;
-  return lastId === undefined || event.id === lastId + 1;
+  return lastEventId === undefined || event.id === lastEventId + 1;
 }
 
-async function writeEvent(relay: StreamRelay, answer: Answer, event: StreamEvent): Promise<void> {
-  const { res, progress } = relay;
-  const nowMs = relay.nowMs();
-  if (progress.events === 0) res.writeHead(answer.head.status, answer.head.headers);
+async function writeEvent(
+  options: StreamRelayOptions,
+  response: AttemptResponse,
+  event: StreamEvent,
+): Promise<void> {
+  const { res, progress } = options;
+  const nowMs = options.nowMs();
+  if (progress.events === 0) res.writeHead(response.head.status, response.head.headers);
   else {
-    const pauseMs = nowMs - progress.lastAtMs;
+    const pauseMs = nowMs - progress.lastEventAtMs;
     progress.longestPauseMs = Math.max(progress.longestPauseMs, pauseMs);
   }
   progress.events += 1;
-  progress.lastId = event.id;
-  const more = res.write(event.bytes);
-  if (!more && !res.destroyed) await Promise.race([once(res, 'drain'), once(res, 'close')]);
+  progress.lastEventId = event.id;
+  const hasCapacity = res.write(event.bytes);
+  if (!hasCapacity && !res.destroyed) await Promise.race([once(res, 'drain'), once(res, 'close')]);
 }
 
 /**
- * Passes one connection's events on until it ends, breaks or falls silent.
- * @example const end = await relayStream(relay, answer); if (end.kind === 'whole') res.end();
+ * Forwards the events of one attempt until the stream ends, breaks or stalls.
+ * @example const outcome = await relayStream(options, response);
  */
-export async function relayStream(relay: StreamRelay, answer: Answer): Promise<StreamEnd> {
-  const { progress } = relay;
+export async function relayStream(
+  options: StreamRelayOptions,
+  response: AttemptResponse,
+): Promise<StreamOutcome> {
+  const { progress } = options;
   const splitter = new EventSplitter();
-  let silent = '';
-  let first = true;
-  const arm = (): NodeJS.Timeout => {
-    const ms = Math.max(1, Math.min(relay.silenceMs, relay.leftMs()));
+  let timeoutDetail = '';
+  let isFirst = true;
+  const startIdleTimer = (): NodeJS.Timeout => {
+    const timeoutMs = Math.max(1, Math.min(options.idleTimeoutMs, options.remainingMs()));
     return setTimeout(() => {
-      silent = `no event within ${Math.round(ms)} ms`;
-      answer.dropSilent(ms);
-    }, ms);
+      timeoutDetail = `no event within ${Math.round(timeoutMs)} ms`;
+      response.closeStalled(timeoutMs);
+    }, timeoutMs);
   };
-  let timer = arm();
+  let timer = startIdleTimer();
   try {
-    for await (const piece of answer.body as AsyncIterable<Buffer>) {
-      for (const event of splitter.push(piece)) {
-        if (!isNext(event, progress.lastId)) {
-          answer.drop();
+    for await (const chunk of response.body as AsyncIterable<Buffer>) {
+      for (const event of splitter.push(chunk)) {
+        if (!isNextEvent(event, progress.lastEventId)) {
+          response.close();
           return {
             kind: 'broke',
-            detail: `event ${event.id ?? 'without id'} after ${progress.lastId ?? 'none'}`,
+            detail: `event ${event.id ?? 'without id'} after ${progress.lastEventId ?? 'none'}`,
           };
         }
-        if (first) relay.onFirst();
-        else relay.onPause(relay.nowMs() - progress.lastAtMs);
-        first = false;
-        await writeEvent(relay, answer, event);
-        progress.lastAtMs = relay.nowMs();
+        if (isFirst) options.onFirstEvent();
+        else options.onPause(options.nowMs() - progress.lastEventAtMs);
+        isFirst = false;
+        await writeEvent(options, response, event);
+        progress.lastEventAtMs = options.nowMs();
       }
-      if (progress.events > 0 && relay.shouldMove()) {
-        answer.drop();
+      if (progress.events > 0 && options.shouldSwitchEndpoint()) {
+        response.close();
         return { kind: 'slow', detail: 'the endpoint is slow' };
       }
       clearTimeout(timer);
-      timer = arm();
+      timer = startIdleTimer();
     }
   } catch (err) {
-    if (silent) return { kind: 'silent', detail: silent };
+    if (timeoutDetail) return { kind: 'silent', detail: timeoutDetail };
     return { kind: 'broke', detail: errorText(err) };
   } finally {
     clearTimeout(timer);
--- a/src/gateway/serve-request.ts
+++ b/src/gateway/serve-request.ts
@@ -1,90 +1,102 @@
-/** Serves one request: its turn, its attempts, its one final answer. */
+/** Serves one request: waits for a slot, runs the attempts, and returns a single outcome. */
 import { pickService } from '../core/published/index.js';
 import { turnTerms } from '../core/limits/index.js';
-import { refuseCrashing, runAttempts } from './attempts.js';
+import { refuseCrashingRequest, runAttempts } from './attempts.js';
 import { BUSY_RETRY_S, DEFAULT_DEADLINE_MS, OUTAGE_RETRY_S } from './consts.js';
 import type { GatewayContext } from './context.js';
 import type { ServiceGroups } from './service-groups.js';
 import type { GatewayRequest } from './types.js';
 import {
-  giveUp,
-  leftMs,
-  refused,
-  retryS,
+  failureOutcome,
+  remainingMs,
+  refuseWith,
+  randomRetryAfterS,
   type RequestEnd,
   type RequestNote,
-  type Work,
-} from './work.js';
+  type ActiveRequest,
+} from './active-request.js';
 
 /**
  * Serves a request whose route and organisation are known.
- * @example const end = await serveRequest(ctx, request, note);
+ * @example const outcome = await serveRequest(ctx, request, summary);
  */
 export async function serveRequest(
   ctx: GatewayContext,
   request: GatewayRequest,
-  note: RequestNote,
+  summary: RequestNote,
 ): Promise<RequestEnd> {
   const id = pickService(request.route, ctx.random);
-  if (id === undefined) return refused('no-endpoint', 'the route names no service', 1);
+  if (id === undefined) return refuseWith('no-endpoint', 'the route names no service', 1);
   const service = ctx.serviceOf(id);
-  note.service = id;
-  const work: Work = {
+  summary.service = id;
+  const active: ActiveRequest = {
     ctx,
     request,
     service,
-    note,
+    summary,
     tried: new Set(),
-    progress: { lastId: request.head.resumeAfter, events: 0, lastAtMs: 0, longestPauseMs: 0 },
+    progress: {
+      lastEventId: request.head.resumeAfter,
+      events: 0,
+      lastEventAtMs: 0,
+      longestPauseMs: 0,
+    },
     mayHaveRun: false,
     lastFault: undefined,
     isRateLimited: false,
-    place: undefined,
+    group: undefined,
   };
-  // It would wait for a place, and one who can be served would not get it.
-  if (ctx.crashes.isRefused(request)) return refuseCrashing(work);
-  if (!service.groups) return runAttempts(work);
-  const refusal = await takeTurn(work, service.groups);
+  // A crashing request must not hold a slot that another request could use.
+  if (ctx.crashes.isRefused(request)) return refuseCrashingRequest(active);
+  if (!service.groups) return runAttempts(active);
+  const refusal = await acquireSlot(active, service.groups);
   if (refusal) return refusal;
   try {
-    return await runAttempts(work);
+    return await runAttempts(active);
   } finally {
-    work.place?.turns.queue.release();
-    note.events = work.progress.events;
-    note.longestPauseMs = work.progress.longestPauseMs;
+    active.group?.turns.queue.release();
+    summary.events = active.progress.events;
+    summary.longestPauseMs = active.progress.longestPauseMs;
   }
 }
 
-/** Takes one of this entry's places at a group; its end when there is none in time, or no group serves. */
-async function takeTurn(work: Work, groups: ServiceGroups): Promise<RequestEnd | undefined> {
-  const { ctx, request, note } = work;
-  const chosen = groups.choose(work.tried);
-  if (!chosen) return giveUp(work);
-  const { turns } = chosen;
+/** Acquires one of this entry's slots in a group; returns a refusal if none is free in time. */
+async function acquireSlot(
+  active: ActiveRequest,
+  groups: ServiceGroups,
+): Promise<RequestEnd | undefined> {
+  const { ctx, request, summary } = active;
+  const group = groups.choose(active.tried);
+  if (!group) return failureOutcome(active);
+  const { turns: slotQueue } = group;
   const { route, gone } = request;
-  if (route.gapMs !== undefined) turns.allowPauses(route.gapMs);
-  const askedAtMs = ctx.ageClock.nowMs();
-  const waitsMs = request.head.deadlineMs ?? DEFAULT_DEADLINE_MS;
-  const isReturning = groups.callers.isReturning(route.id, waitsMs, askedAtMs);
-  note.isReturning = isReturning;
-  if (turns.outage.refuses(askedAtMs)) {
-    groups.callers.noteRefused(askedAtMs);
-    return refused('outage', 'no endpoint of the service serves', retryS(ctx, OUTAGE_RETRY_S));
+  if (route.gapMs !== undefined) slotQueue.allowPauses(route.gapMs);
+  const queuedAtMs = ctx.ageClock.nowMs();
+  const deadlineMs = request.head.deadlineMs ?? DEFAULT_DEADLINE_MS;
+  const isReturning = groups.callers.isReturning(route.id, deadlineMs, queuedAtMs);
+  summary.isReturning = isReturning;
+  if (slotQueue.outage.refuses(queuedAtMs)) {
+    groups.callers.recordRefusal(queuedAtMs);
+    return refuseWith(
+      'outage',
+      'no endpoint of the service is available',
+      randomRetryAfterS(ctx, OUTAGE_RETRY_S),
+    );
   }
   const priority = request.organisation?.priority ?? route.priority;
   const terms = turnTerms({
     isReturning,
     priority,
     targetMs: route.targetMs,
-    leftMs: leftMs(work),
+    leftMs: remainingMs(active),
   });
-  const got = await turns.queue.take(terms.order, terms.waitMs, gone);
-  note.queuedMs = ctx.ageClock.nowMs() - askedAtMs;
-  if (got) {
-    work.place = chosen;
+  const isAdmitted = await slotQueue.queue.take(terms.order, terms.waitMs, gone);
+  summary.queuedMs = ctx.ageClock.nowMs() - queuedAtMs;
+  if (isAdmitted) {
+    active.group = group;
     return undefined;
   }
   if (gone.aborted) return { kind: 'gone' };
-  groups.callers.noteRefused(ctx.ageClock.nowMs());
-  return refused('busy', turns.describe(), retryS(ctx, BUSY_RETRY_S));
+  groups.callers.recordRefusal(ctx.ageClock.nowMs());
+  return refuseWith('busy', slotQueue.describe(), randomRetryAfterS(ctx, BUSY_RETRY_S));
 }
--- a/src/gateway/service-groups.ts
+++ b/src/gateway/service-groups.ts
@@ -6,7 +6,7 @@
 import { asId, type EndpointId, type GroupId } from '../core/ids/index.js';
 import type { DataCentreId, EngineInfo, PublishedEndpoint } from '../core/published/index.js';
 import type { GroupSize } from './group-sight.js';
-import { ReturningCallers } from './returning.js';
+import { ReturningCallers } from './returning-callers.js';
 import { Turns } from './turns.js';
 
 /** Group of the engines whose own one has not been told. */
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -1,4 +1,4 @@
-/** Types of the gateway: the request path of an entry. */
+/** Types of the gateway, the request path of an entry. */
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from 'node:http';
 import type { AnswerAsks } from '../core/backpressure/index.js';
 import type { InstanceId, OrganisationId } from '../core/ids/index.js';
@@ -12,123 +12,124 @@
 import type { Result } from '../core/result/index.js';
 import type { Refusal } from './refuse.js';
 
-/** Where a server listens. */
+/** Address on which a server listens. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** Settings of a gateway, whatever file they were read from. Durations in ms. */
+/** Settings of a gateway, independent of the file format. Durations in ms. */
 export interface GatewaySettings {
   /**
-   * Longest time that a key may be honoured after it was taken away; infinite where an entry that is cut off
-   * from the store had better go on serving with the keys that it knows: in an outage of the store of 8 s nearly
-   * all callers were refused otherwise, and a day's worth was 0.43 in place of 0.58.
+   * Maximum time for which a revoked key is still accepted. Infinite if an entry that is cut off
+   * from the store should keep serving with the keys that it knows: with a finite time, a store
+   * outage of 8 s led to nearly all callers being refused, and the value of a day's responses was
+   * 0.43 instead of 0.58.
    */
   readonly keyProofMs: number;
-  /** Time within which a change must be in force. */
+  /** Time within which a configuration change must take effect. */
   readonly configApplyMs: number;
-  /** Time that a caller has to send its body; where it is missing, all the time of its request. */
+  /** Timeout of reading a request body; defaults to the deadline of the request. */
   readonly bodyMs?: number;
-  /** Largest header that is read at all, bytes. */
+  /** Maximum size of a request header that the HTTP parser accepts, bytes. */
   readonly parserHeaderBytes: number;
-  /** Retries allowed beyond the share of first attempts, by all entries together. */
+  /** Retries of all entries together that are allowed in addition to the retry share. */
   readonly retryExtra: number;
-  /** Time within which these retries, and the share of its first attempts, may be taken. */
+  /** Sliding window of the retry budget, for both the extra retries and the retry share. */
   readonly retryWindowMs: number;
 }
 
-/** Settings of one process on an instance without a disk, whatever file they were read from. */
+/** Settings of one process on an instance without a disk, independent of the file format. */
 export interface InstanceSettings {
   readonly instance: InstanceId;
   readonly ip: string;
   readonly dataCentre: DataCentreId;
   readonly store: ListenAddress;
   readonly callers: ListenAddress | undefined;
-  /** Where the platform asks whether callers may be sent here. */
+  /** Address of the readiness check that the platform calls. */
   readonly ready: ListenAddress | undefined;
-  /** Where an entry answers other daemons that would hear from it what is published. */
+  /** Address on which an entry relays the published state to other daemons. */
   readonly control: ListenAddress | undefined;
-  /** Entries that tell what is published, as `control` addresses; some may be gone. */
+  /** `control` addresses of entries that relay the published state; some may no longer run. */
   readonly relays: readonly string[];
-  /** Port on which daemons talk to each other; the same on all instances. */
+  /** Port of the RPC between daemons; the same on all instances. */
   readonly internalPort: number;
-  /** The endpoint beside which this process runs. */
+  /** The endpoint on the same instance as this process. */
   readonly ownEndpoint: ListenAddress | undefined;
-  /** Time from the signal to stop until the process is killed, ms. */
+  /** Time between the stop signal and SIGKILL, ms. */
   readonly stopMs: number;
-  /** Time after which an instance whose connections fell silent is bound by what is published again, ms. */
+  /** Time without contact after which an instance follows the published state again, ms. */
   readonly contactMs: number;
-  /** Retries allowed for each request, by all entries together. */
+  /** Retries allowed per request, over all entries. */
   readonly retryShare: number;
   readonly gateway: GatewaySettings;
 }
 
-/** What a caller's request says in its headers. */
+/** Parsed headers of a caller's request. */
 export interface CallerHead {
   readonly requestId: string | undefined;
   readonly host: string;
-  /** Time that the caller waits, ms; undefined when it does not say. */
+  /** Time for which the caller waits, ms; undefined if the request does not name it. */
   readonly deadlineMs: number | undefined;
   readonly key: string | undefined;
-  /** Id of the last event that the caller already has. */
+  /** Id of the last event that the caller has received. */
   readonly resumeAfter: number | undefined;
-  /** What is wrong with a header, and the remedy. */
+  /** Description of an invalid header, and how to correct it. */
   readonly invalid?: string;
 }
 
-/** What an entry adds to a request for one attempt. */
+/** Metadata that an entry adds to a request for one attempt. */
 export interface AttemptMeta {
   readonly requestId: string;
   readonly endpoint: PublishedEndpoint;
   readonly organisation: OrganisationId | undefined;
-  /** Time that is left, ms. */
+  /** Remaining time, ms. */
   readonly deadlineMs: number;
-  /** Id of the last event that was delivered; the answer goes on behind it. */
+  /** Id of the last event delivered to the caller; the response resumes after it. */
   readonly resumeAfter: number | undefined;
 }
 
-/** What an endpoint's answer says in its headers. */
+/** Status and parsed headers of an endpoint's response. */
 export interface AnswerHead {
   readonly status: number;
-  /** Id of the request that this answers. */
+  /** Id of the request that the response belongs to. */
   readonly requestId: string | undefined;
-  /** Whether the endpoint signed it. */
+  /** Whether it carries the endpoint's signature header. */
   readonly isSigned: boolean;
-  /** Whether the endpoint says that the request has not run. */
+  /** Whether the endpoint states that the request has not run. */
   readonly isNotRun: boolean;
-  /** Whether the body is encoded in a way that no caller asked for. */
+  /** Whether the body has a content encoding, which no request accepts. */
   readonly isEncoded: boolean;
-  /** What the endpoint asks for. */
+  /** The endpoint's backpressure signals. */
   readonly asks: AnswerAsks;
-  /** Headers to pass on. */
+  /** Headers to forward to the caller. */
   readonly headers: Record<string, string | string[]>;
 }
 
 /**
- * What one interface towards callers and endpoints does in its own way. Only headers are needed; where a
- * function is missing, routes are found by host and prefix, and every request is let in.
+ * Protocol of one API towards callers and endpoints. Only the header codec is required: by default,
+ * routes are looked up by host and path prefix, and every request is admitted.
  */
 export interface CallerInterface extends HeaderCodec {
-  /** Header in which callers are told the id of their request, where it is ours. */
+  /** Response header with the id of the request, if the entry assigns the id. */
   readonly requestIdHeader?: string;
-  /** The route of a request by its head. */
+  /** Looks up the route of a request by its headers. */
   readonly routeOf?: (
     config: PublishedConfig,
     head: CallerHead,
     req: IncomingMessage,
   ) => Route | undefined;
-  /** What the body tells; an error is the final answer. */
+  /** Parses the request body; an error is sent as the final response. */
   readonly readContent?: (request: GatewayRequest) => Result<RequestContent, Refusal>;
-  /** Answers a request that needs no endpoint; false when it is none of these. */
+  /** Serves a request that needs no endpoint; returns false for all others. */
   readonly answer?: (req: IncomingMessage, res: ServerResponse) => boolean;
-  /** The path of a request at its endpoint. */
+  /** Maps the request path to the path at the endpoint. */
   readonly pathAt?: (url: string) => string;
-  /** Whether a request may run now; an error refuses it. What it returns is called at the request's end. */
+  /** Admits or refuses a request; the returned function is called when the request ends. */
   readonly admit?: (request: GatewayRequest) => Result<() => void, Refusal>;
 }
 
-/** Reads and writes the headers of one interface; decides nothing. */
+/** Parses and writes the headers of one API; makes no decisions. */
 export interface HeaderCodec {
   readonly readCaller: (headers: IncomingHttpHeaders) => CallerHead;
   readonly writeAttempt: (
@@ -138,14 +139,14 @@
   readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerHead;
 }
 
-/** What the body of a request tells, where its interface reads it. */
+/** Parsed body of a request, for APIs that read it. */
 export interface RequestContent {
   readonly route: Route;
-  /** Estimated tokens of prompt and answer together. */
+  /** Estimated number of tokens of prompt and completion together. */
   readonly tokens?: number;
 }
 
-/** One caller's request whose body has come. */
+/** A caller's request whose body has been read. */
 export interface GatewayRequest extends RequestContent {
   readonly id: string;
   readonly req: IncomingMessage;
@@ -153,23 +154,23 @@
   readonly head: CallerHead;
   readonly organisation: Organisation | undefined;
   readonly body: Buffer;
-  /** Monotonic time at which it arrived, ms. */
+  /** Monotonic arrival time, ms. */
   readonly arrivedAtMs: number;
-  /** Time for which it may still be held, ms; time for which this machine was suspended counts. */
+  /** Time until its deadline, ms; time during which the process was suspended counts. */
   readonly leftMs: () => number;
-  /** Aborts when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly gone: AbortSignal;
 }
 
-/** Why an attempt brought no answer. */
+/** Why an attempt produced no response. */
 export type AttemptFault =
-  /** The endpoint, or the lack of a connection, proves that the request has not run. */
+  /** The request has not run: the endpoint states so, or the connection failed. */
   | { readonly kind: 'not-run'; readonly detail: string }
-  /** It has not run: the endpoint asks for rest, and either turned it away or was not sent it for that. */
+  /** It has not run: the endpoint requested a backoff and refused it, or it was not sent there. */
   | { readonly kind: 'resting'; readonly detail: string }
-  /** It may have run. */
+  /** The connection or the response failed; the request may have run. */
   | { readonly kind: 'broke'; readonly detail: string }
-  /** No sign of an answer in the time given. */
+  /** No response, or no further event, within the timeout. */
   | { readonly kind: 'silent'; readonly detail: string }
-  /** Given up by the entry, since the endpoint is slow and another one can go on. */
+  /** Aborted by the entry because the endpoint is slow and another one can resume the stream. */
   | { readonly kind: 'slow'; readonly detail: string };
--- a/test/gateway/crashing-endpoint.ts
+++ b/test/gateway/crashing-endpoint.ts
@@ -1,29 +1,29 @@
-/** An endpoint that falls when it begins to run a certain request, and is back a moment later as another process. */
+/** An endpoint that crashes when it begins to run certain requests, and restarts shortly after. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { setTimeout as wait } from 'node:timers/promises';
 
-/** Time for which a fallen endpoint is away, ms. */
-const AWAY_MS = 300;
-/** Time of an ordinary request, ms. */
-const WORK_MS = 30;
+/** Time from a crash to the restart, ms. */
+const RESTART_MS = 300;
+/** Service time of an ordinary request, ms. */
+const SERVICE_TIME_MS = 30;
 
 /** A running endpoint. */
 export class CrashingEndpoint {
-  /** When each of its processes fell, monotonic ms. */
-  readonly fellAtMs: number[] = [];
-  /** Requests that it began to run, by path. */
+  /** Monotonic times of its crashes, ms. */
+  readonly crashedAtMs: number[] = [];
+  /** Paths of the requests that it began to run. */
   readonly runs: string[] = [];
   private server: Server | undefined;
 
   private constructor(
-    private readonly crashes: (path: string) => boolean,
+    private readonly crashesOn: (path: string) => boolean,
     private port = 0,
   ) {}
 
-  /** Starts one that falls by requests whose path is told so. */
-  static async start(crashes: (path: string) => boolean): Promise<CrashingEndpoint> {
-    const endpoint = new CrashingEndpoint(crashes);
+  /** Starts an endpoint that crashes on requests whose path matches `crashesOn`. */
+  static async start(crashesOn: (path: string) => boolean): Promise<CrashingEndpoint> {
+    const endpoint = new CrashingEndpoint(crashesOn);
     await endpoint.listen();
     return endpoint;
   }
@@ -32,15 +32,15 @@
     return `127.0.0.1:${this.port}`;
   }
 
-  /** Ends its process with all that runs there; it starts again by itself. */
-  async fall(): Promise<void> {
+  /** Crashes with all requests in flight, and restarts after a delay. */
+  async crash(): Promise<void> {
     const { server } = this;
     if (!server) return;
     this.server = undefined;
-    this.fellAtMs.push(performance.now());
+    this.crashedAtMs.push(performance.now());
     server.close();
     server.closeAllConnections();
-    await wait(AWAY_MS);
+    await wait(RESTART_MS);
     await this.listen();
   }
 
@@ -63,8 +63,8 @@
     req.resume();
     const path = req.url ?? '';
     this.runs.push(path);
-    if (this.crashes(path)) return void this.fall();
-    await wait(WORK_MS);
+    if (this.crashesOn(path)) return void this.crash();
+    await wait(SERVICE_TIME_MS);
     if (res.destroyed) return;
     const id = String(req.headers['x-request-id']);
     res.writeHead(200, { 'x-request-id': id, 'x-server-stamp': 's.1', 'content-length': 2 });
--- a/test/gateway/crashing-request.test.ts
+++ b/test/gateway/crashing-request.test.ts
@@ -1,8 +1,8 @@
 /**
- * Story: a request crashes each endpoint that begins to run it, and comes again, with the same path, caller and body. Each of its
- * tries crashed as many endpoints as it may be sent to; with the others of a group in lock-step, one such request takes a whole
- * group out of service again and again.
- * Evidence: the first test failed on the code before: eight tries crashed endpoints 16 times.
+ * Guards against a request that crashes every endpoint that begins to run it and that its caller
+ * retries with the same path and body. Undetected, each retry crashes as many endpoints as it has
+ * attempts (8 retries caused 16 crashes), and in a lock-step group each crash takes the whole group
+ * out of service.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -19,116 +19,125 @@
 } from './harness.js';
 import { CrashingEndpoint } from './crashing-endpoint.js';
 
-/** Endpoints of a test, and how often the request comes. */
+/** Number of endpoints of a test, and how often the crashing request is sent. */
 const ENDPOINTS = 6;
-const TRIES = 8;
-const POISON = '/x/poison';
-/** How often the configuration is proved to be the newest, ms. */
-const PROOF_MS = 500;
-/** Other requests that each entry gets meanwhile. */
-const OTHERS = 60;
-/** Pause between two tries, ms: longer than an endpoint is away. */
-const PAUSE_MS = 400;
+const ATTEMPTS = 8;
+const CRASHING_PATH = '/x/poison';
+/** Interval at which the configuration is confirmed as current, ms. */
+const CONFIRM_INTERVAL_MS = 500;
+/** Number of other requests that each entry gets meanwhile. */
+const OTHER_REQUESTS = 60;
+/** Pause between two retries, ms; longer than the restart of an endpoint. */
+const RETRY_PAUSE_MS = 400;
 
-interface Played {
+interface TestSetup {
   readonly endpoints: readonly CrashingEndpoint[];
   readonly gateways: readonly GatewayUnderTest[];
 }
 
-async function played(entries: number, run: (played: Played) => Promise<void>): Promise<void> {
+async function withEntries(
+  entries: number,
+  run: (setup: TestSetup) => Promise<void>,
+): Promise<void> {
   const endpoints = await Promise.all(
-    Array.from({ length: ENDPOINTS }, () => CrashingEndpoint.start((path) => path === POISON)),
+    Array.from({ length: ENDPOINTS }, () =>
+      CrashingEndpoint.start((path) => path === CRASHING_PATH),
+    ),
   );
   const listed = endpoints.map(({ address }, i) => endpoint(`e-${i}`, address));
   const gateways: GatewayUnderTest[] = [];
-  const tellOthers = (news: CrashNews): void => {
+  const sendToAll = (news: CrashNews): void => {
     for (const { ctx } of gateways) ctx.crashes.evidence.take(news);
   };
   for (let i = 0; i < entries; i += 1)
-    gateways.push(await startGateway(config([route()]), listed, { tellCrashes: tellOthers }));
-  const proving = setInterval(() => {
+    gateways.push(await startGateway(config([route()]), listed, { tellCrashes: sendToAll }));
+  const confirmTimer = setInterval(() => {
     for (const { state, ctx } of gateways) state.proveConfig(ctx.ageClock.nowMs());
-  }, PROOF_MS);
+  }, CONFIRM_INTERVAL_MS);
   try {
     await run({ endpoints, gateways });
   } finally {
-    clearInterval(proving);
-    for (const under of gateways) under.close();
+    clearInterval(confirmTimer);
+    for (const testGateway of gateways) testGateway.close();
     for (const each of endpoints) each.close();
   }
 }
 
-const falls = ({ endpoints }: Played): number =>
-  endpoints.reduce((sum, { fellAtMs }) => sum + fellAtMs.length, 0);
+const crashCount = ({ endpoints }: TestSetup): number =>
+  endpoints.reduce((sum, { crashedAtMs: fellAtMs }) => sum + fellAtMs.length, 0);
 
-test('a request that crashes what runs it crashes two endpoints, however often it comes', async () => {
-  await played(1, async (all) => {
-    const [under] = all.gateways;
+test('a crashing request crashes at most two endpoints, however often it is retried', async () => {
+  await withEntries(1, async (all) => {
+    const [testGateway] = all.gateways;
     const statuses: (number | undefined)[] = [];
-    for (let i = 0; i < TRIES; i += 1) {
-      statuses.push((await under?.ask(`p-${i}`, { path: POISON }))?.status);
-      await wait(PAUSE_MS);
+    for (let i = 0; i < ATTEMPTS; i += 1) {
+      statuses.push((await testGateway?.ask(`p-${i}`, { path: CRASHING_PATH }))?.status);
+      await wait(RETRY_PAUSE_MS);
     }
-    assert.equal(falls(all), 2, statuses.join());
+    assert.equal(crashCount(all), 2, statuses.join());
   });
 });
 
-test('also where each of its tries comes to another entry; other requests are served, and none of them is refused', async () => {
-  await played(4, async (all) => {
-    const others = all.gateways.map(async (under, i) => {
-      const got: Got[] = [];
-      for (let n = 0; n < OTHERS; n += 1) {
-        got.push(await under.ask(`o-${i}-${n}`, { path: `/x/${n % 3}` }));
+test('a crashing request retried at other entries is refused, while other requests are served', async () => {
+  await withEntries(4, async (all) => {
+    const others = all.gateways.map(async (testGateway, i) => {
+      const responses: Got[] = [];
+      for (let n = 0; n < OTHER_REQUESTS; n += 1) {
+        responses.push(await testGateway.ask(`o-${i}-${n}`, { path: `/x/${n % 3}` }));
         await wait(20);
       }
-      return got;
+      return responses;
     });
-    for (let i = 0; i < TRIES; i += 1) {
-      await all.gateways[i % 4]?.ask(`p-${i}`, { path: POISON });
-      await wait(PAUSE_MS);
+    for (let i = 0; i < ATTEMPTS; i += 1) {
+      await all.gateways[i % 4]?.ask(`p-${i}`, { path: CRASHING_PATH });
+      await wait(RETRY_PAUSE_MS);
     }
-    assert.equal(falls(all), 2);
-    const bad = (await Promise.all(others)).flat().filter(({ status }) => status !== 200);
+    assert.equal(crashCount(all), 2);
+    const failed = (await Promise.all(others)).flat().filter(({ status }) => status !== 200);
     assert.deepEqual(
-      bad.filter(({ body }) => body.includes('crashes-endpoints')),
+      failed.filter(({ body }) => body.includes('crashes-endpoints')),
       [],
     );
-    // Two endpoints are away at a time, and who meets both of them has no third one to be sent to.
-    assert.ok(bad.length <= 0.05 * 4 * OTHERS, bad.map(({ body }) => body).join());
+    // Two endpoints may be down at once; a request that hits both has no third attempt.
+    assert.ok(failed.length <= 0.05 * 4 * OTHER_REQUESTS, failed.map(({ body }) => body).join());
   });
 });
 
-test('the refusal is true, and tells whoever sends it that coming back does not help', async () => {
-  await played(1, async ({ gateways: [under], endpoints }) => {
-    await under?.ask('p-1', { path: POISON });
-    await wait(PAUSE_MS);
-    const got = await under?.ask('p-2', { path: POISON });
-    assert.equal(got?.status, 503);
-    assert.equal(got?.headers['retry-after'], '300.00');
-    const runs = endpoints.flatMap((each) => each.runs).filter((path) => path === POISON);
+test('the refusal of a crashing request is correct, and its Retry-After discourages retries', async () => {
+  await withEntries(1, async ({ gateways: [testGateway], endpoints }) => {
+    await testGateway?.ask('p-1', { path: CRASHING_PATH });
+    await wait(RETRY_PAUSE_MS);
+    const response = await testGateway?.ask('p-2', { path: CRASHING_PATH });
+    assert.equal(response?.status, 503);
+    assert.equal(response?.headers['retry-after'], '300.00');
+    const runs = endpoints.flatMap((each) => each.runs).filter((path) => path === CRASHING_PATH);
     assert.equal(runs.length, 2);
   });
 });
 
-test('a popular request is not held for one that crashes endpoints when these fall by themselves', async () => {
-  await played(2, async ({ gateways, endpoints }) => {
-    let asked = 0;
+test('a frequent request is not suspected when endpoints crash for other reasons', async () => {
+  await withEntries(2, async ({ gateways, endpoints }) => {
+    let requestCount = 0;
     const refused: string[] = [];
     const untilMs = performance.now() + 4000;
-    const ask = async (under: GatewayUnderTest): Promise<void> => {
+    const sendRepeatedly = async (testGateway: GatewayUnderTest): Promise<void> => {
       while (performance.now() < untilMs) {
-        asked += 1;
-        const { status, body } = await under.ask(`h-${asked}`, { path: '/x/popular' });
+        requestCount += 1;
+        const { status, body } = await testGateway.ask(`h-${requestCount}`, { path: '/x/popular' });
         if (status === 503) refused.push(body);
       }
     };
-    const callers = gateways.flatMap((under) => [ask(under), ask(under), ask(under)]);
+    const callers = gateways.flatMap((testGateway) => [
+      sendRepeatedly(testGateway),
+      sendRepeatedly(testGateway),
+      sendRepeatedly(testGateway),
+    ]);
     for (let i = 0; performance.now() < untilMs; i += 1) {
-      await endpoints[i % ENDPOINTS]?.fall();
+      await endpoints[i % ENDPOINTS]?.crash();
       await wait(50);
     }
     await Promise.all(callers);
-    assert.ok(asked > 200, `${asked} asked`);
+    assert.ok(requestCount > 200, `${requestCount} requests`);
     assert.deepEqual(
       refused.filter((body) => body.includes('crashed')),
       [],
@@ -136,14 +145,14 @@
   });
 });
 
-test('connections that are reset while an endpoint runs on are held against nobody', async () => {
-  await played(1, async ({ gateways: [under] }) => {
+test('connection resets by a running endpoint do not make a request suspect', async () => {
+  await withEntries(1, async ({ gateways: [testGateway] }) => {
     const raw = await startRawEndpoint((req) => req.socket.resetAndDestroy());
     try {
-      under?.state.offerList([endpoint('e-raw', raw.address)], false);
-      for (let i = 0; i < 4; i += 1) await under?.ask(`r-${i}`, { path: '/x/reset' });
+      testGateway?.state.offerList([endpoint('e-raw', raw.address)], false);
+      for (let i = 0; i < 4; i += 1) await testGateway?.ask(`r-${i}`, { path: '/x/reset' });
       assert.equal(raw.requests.length, 4);
-      assert.equal(under?.ctx.crashes.evidence.isEmpty, true);
+      assert.equal(testGateway?.ctx.crashes.evidence.isEmpty, true);
     } finally {
       raw.close();
     }
--- a/test/gateway/harness.ts
+++ b/test/gateway/harness.ts
@@ -1,4 +1,4 @@
-/** A gateway in this process, before raw endpoints, with a configuration of its own. */
+/** Runs a gateway in the test process, with its own configuration, in front of raw endpoints. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { platformHeaders } from '../../platform/headers.js';
@@ -85,7 +85,7 @@
   };
 }
 
-export const SETTINGS: GatewaySettings = {
+export const TEST_SETTINGS: GatewaySettings = {
   keyProofMs: 5000,
   configApplyMs: 2000,
   parserHeaderBytes: 64 * 1024,
@@ -93,25 +93,25 @@
   retryWindowMs: 10_000,
 };
 
-/** What a test asks for. */
-export interface Ask {
+/** A request that a test sends. */
+export interface TestRequest {
   readonly method?: string;
   readonly path?: string;
   readonly headers?: Record<string, string>;
   readonly body?: string;
   readonly agent?: http.Agent;
-  /** Leaves after so many ms. */
-  readonly leaveAfterMs?: number;
-  /** Called with the body so far at each piece of it. */
+  /** Time after which the caller disconnects, ms. */
+  readonly disconnectAfterMs?: number;
+  /** Called at each chunk with the body received so far. */
   readonly onBody?: (body: string) => void;
 }
 
-/** What a caller got. */
+/** The response that the caller received. */
 export interface Got {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer was framed as whole. */
+  /** Whether the response ended with complete HTTP framing. */
   readonly complete: boolean;
   readonly tookMs: number;
 }
@@ -122,19 +122,20 @@
   readonly gateway: Gateway;
   readonly state: PublishedState;
   readonly metrics: Metrics;
-  /** Lines that were logged. */
+  /** Recorded log lines. */
   readonly lines: { readonly event: string; readonly fields: LogFields }[];
-  ask(id: string, ask?: Ask): Promise<Got>;
+  ask(id: string, request?: TestRequest): Promise<Got>;
   close(): void;
 }
 
-function recordingLog(lines: GatewayUnderTest['lines']): Log {
-  const at = (event: string, fields: LogFields = {}): void => void lines.push({ event, fields });
-  return { ...silentLog, info: at, warn: at, error: at };
+function createRecordingLog(lines: GatewayUnderTest['lines']): Log {
+  const record = (event: string, fields: LogFields = {}): void =>
+    void lines.push({ event, fields });
+  return { ...silentLog, info: record, warn: record, error: record };
 }
 
-/** What a test may bring of its own. */
-export interface GatewayOptions extends Partial<
+/** Dependencies that a test may replace. */
+export interface TestGatewayOptions extends Partial<
   Pick<
     GatewayParts,
     'groupOf' | 'groupSize' | 'tellCrashes' | 'tellLeaving' | 'limits' | 'limiterOf' | 'sightOf'
@@ -146,14 +147,14 @@
 
 /**
  * Starts a gateway.
- * @example const under = await startGateway(config([route()]), [endpoint('e-1', raw.address)]);
+ * @example const testGateway = await startGateway(config([route()]), [endpoint('e-1', raw.address)]);
  */
 export async function startGateway(
   cfg: PublishedConfig | undefined,
   endpoints: readonly PublishedEndpoint[],
-  options: GatewayOptions = {},
+  options: TestGatewayOptions = {},
 ): Promise<GatewayUnderTest> {
-  const { clock = systemClock, settings = SETTINGS, ...parts } = options;
+  const { clock = systemClock, settings = TEST_SETTINGS, ...parts } = options;
   const state = new PublishedState();
   if (cfg) state.offerConfig(cfg, clock.nowMs());
   state.offerList(endpoints, false);
@@ -161,8 +162,8 @@
   const lines: GatewayUnderTest['lines'] = [];
   const ageClock = new SuspensionClock(clock);
   const limits = new KnownLimits(ageClock);
-  const sharers = (): Sharers => ({ place: undefined, count: ASSUMED_PEERS });
-  const sharing = { state, limits, sharers };
+  const sharingPeers = (): Sharers => ({ place: undefined, count: ASSUMED_PEERS });
+  const shareDeps = { state, limits, sharers: sharingPeers };
   const ctx = createContext({
     settings,
     retryShare: () => 0.2,
@@ -171,7 +172,7 @@
     clock,
     ageClock,
     random: seededRandom(1),
-    log: recordingLog(lines),
+    log: createRecordingLog(lines),
     metrics,
     dataCentre: asId('a'),
     sightOf: () => undefined,
@@ -181,7 +182,7 @@
     tellCrashes: () => undefined,
     tellLeaving: () => undefined,
     limits,
-    limiterOf: (of) => new ShareLimiter(ageClock, seededRandom(2), () => shareOf(sharing, of)),
+    limiterOf: (of) => new ShareLimiter(ageClock, seededRandom(2), () => shareOf(shareDeps, of)),
     ...parts,
   });
   const gateway = createGateway(ctx);
@@ -193,7 +194,7 @@
     state,
     metrics,
     lines,
-    ask: (id, ask = {}) => request(port, id, ask),
+    ask: (id, request = {}) => sendRequest(port, id, request),
     close: () => {
       gateway.server.close();
       gateway.server.closeAllConnections();
@@ -202,7 +203,7 @@
   };
 }
 
-function request(port: number, id: string, ask: Ask): Promise<Got> {
+function sendRequest(port: number, id: string, request: TestRequest): Promise<Got> {
   const startedAt = performance.now();
   return new Promise((resolve) => {
     let status = 0;
@@ -214,30 +215,31 @@
       {
         host: '127.0.0.1',
         port,
-        method: ask.method ?? 'POST',
-        path: ask.path ?? '/x/1',
-        agent: ask.agent ?? false,
+        method: request.method ?? 'POST',
+        path: request.path ?? '/x/1',
+        agent: request.agent ?? false,
         headers: {
           host: 'a.example',
           'x-request-id': id,
           'x-deadline-ms': '2000',
           authorization: 'Bearer key-1',
-          ...ask.headers,
+          ...request.headers,
         },
       },
       (res) => {
         status = res.statusCode ?? 0;
         headers = res.headers;
-        res.on('data', (piece: Buffer) => {
-          body += piece.toString('latin1');
-          ask.onBody?.(body);
+        res.on('data', (chunk: Buffer) => {
+          body += chunk.toString('latin1');
+          request.onBody?.(body);
         });
         res.on('close', () => end(res.complete));
         res.on('error', () => undefined);
       },
     );
     req.on('error', () => end(false));
-    if (ask.leaveAfterMs !== undefined) setTimeout(() => req.destroy(), ask.leaveAfterMs);
-    req.end(ask.body ?? '');
+    if (request.disconnectAfterMs !== undefined)
+      setTimeout(() => req.destroy(), request.disconnectAfterMs);
+    req.end(request.body ?? '');
   });
 }
