--- a/src/gateway/choose-endpoint.ts
+++ b/src/gateway/choose-endpoint.ts
@@ -42,12 +42,12 @@
     // A backoff or the probe by another request may have begun meanwhile.
     if (hasToken && target.gate.mayProbe(ctx.ageClock.nowMs())) return target;
     denied.add(target.endpoint.id);
-    if (!hasToken) recordDenied(active, target);
+    if (!hasToken) recordTokenDenied(active, target);
   } while (ctx.ageClock.nowMs() < untilMs);
   return undefined;
 }
 
-function recordDenied(active: ActiveRequest, { endpoint, gate }: EndpointState): void {
+function recordTokenDenied(active: ActiveRequest, { endpoint, gate }: EndpointState): void {
   const { ctx, request, service } = active;
   active.isRateLimited = true;
   const untilMs = Math.round(gate.opening(ctx.ageClock.nowMs()).atMs - ctx.ageClock.nowMs());
--- a/src/gateway/crash-detector.ts
+++ b/src/gateway/crash-detector.ts
@@ -24,7 +24,7 @@
   readonly log: Log;
   readonly metrics: Metrics;
   /** Publishes crash updates to other entries. */
-  readonly tell: (news: CrashNews) => void;
+  readonly tell: (update: CrashNews) => void;
 }
 
 /** Whether connections to an address are refused. */
@@ -48,8 +48,8 @@
   /** Cached, as requests are checked before each attempt and at their end; bodies do not change. */
   private readonly fingerprints = new WeakMap<GatewayRequest, Fingerprint>();
 
-  constructor(private readonly parts: CrashDetectorDeps) {
-    this.evidence = new CrashEvidence(parts.clock);
+  constructor(private readonly deps: CrashDetectorDeps) {
+    this.evidence = new CrashEvidence(deps.clock);
   }
 
   /**
@@ -79,7 +79,7 @@
     if (request.gone.aborted || !(await isConnectionRefused(endpoint.address))) return;
     const fingerprint = this.fingerprintFor(request);
     if (!this.evidence.noteCrash(fingerprint, endpoint.id)) return;
-    this.parts.metrics.count('crash_suspects_total', { service: endpoint.service });
+    this.deps.metrics.count('crash_suspects_total', { service: endpoint.service });
     this.logAndPublish('crash.suspect', request, fingerprint, endpoint);
   }
 
@@ -98,7 +98,7 @@
     fingerprint: Fingerprint,
     endpoint?: PublishedEndpoint,
   ): void {
-    const { log, tell } = this.parts;
+    const { log, tell: publish } = this.deps;
     const isRefusedNow = this.evidence.isRefused(fingerprint);
     log.warn(event, {
       request: request.id,
@@ -106,6 +106,6 @@
       endpoint: endpoint?.id,
       refused: isRefusedNow,
     });
-    tell(this.evidence.newsSince(this.evidence.version - 1));
+    publish(this.evidence.newsSince(this.evidence.version - 1));
   }
 }
--- a/src/gateway/refuse.ts
+++ b/src/gateway/refuse.ts
@@ -23,7 +23,7 @@
 
 /**
  * Writes a refusal as the final response; returns false if it can no longer be sent.
- * @example sendRefusal(res, metrics, { reason: 'busy', detail: '8 of 8 slots taken' });
+ * @example sendRefusal(res, metrics, { reason: 'busy', detail: '8 of 8 slots', retryAfterS: 1 });
  */
 export function refuse(res: ServerResponse, metrics: Metrics, refusal: Refusal): boolean {
   const { reason, detail, retryAfterS, close } = refusal;
--- a/test/gateway/backpressure-signals.test.ts
+++ b/test/gateway/backpressure-signals.test.ts
@@ -90,8 +90,8 @@
     for (const each of endpoints) each.behaviour = () => requestBackoff(2);
     await sendLoad(4, 30);
     for (const each of endpoints) {
-      const most = maxWithinBackoff(each, 2000);
-      assert.ok(most <= 2, `${most} within one backoff`);
+      const maxRequests = maxWithinBackoff(each, 2000);
+      assert.ok(maxRequests <= 2, `${maxRequests} within one backoff`);
     }
   });
 });
@@ -239,8 +239,8 @@
     for (const each of endpoints) each.behaviour = () => announceLimit(perS);
     await sendLoad(9, 80);
     for (const each of endpoints) {
-      const most = maxWithinLimitWindow(each);
-      assert.ok(most <= maxAllowedInLimitWindow(perS), `${most} in 4 s`);
+      const maxRequests = maxWithinLimitWindow(each);
+      assert.ok(maxRequests <= maxAllowedInLimitWindow(perS), `${maxRequests} in 4 s`);
     }
   });
 });
--- a/test/gateway/crashing-request.test.ts
+++ b/test/gateway/crashing-request.test.ts
@@ -1,8 +1,8 @@
 /**
- * Guards against a request that crashes every endpoint that begins to run it and that its caller
- * retries with the same path and body. Undetected, each retry crashes as many endpoints as it has
- * attempts (8 retries caused 16 crashes), and in a lock-step group each crash takes the whole group
- * out of service.
+ * Guards against a request that crashes every endpoint that begins to run it, and that the same
+ * caller retries with the same path and body. Undetected, each retry crashes as many endpoints as
+ * it has attempts (8 retries caused 16 crashes), and in a lock-step group each crash takes the
+ * whole group out of service.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -64,9 +64,9 @@
 }
 
 const crashCount = ({ endpoints }: TestSetup): number =>
-  endpoints.reduce((sum, { crashedAtMs: fellAtMs }) => sum + fellAtMs.length, 0);
+  endpoints.reduce((sum, { crashedAtMs }) => sum + crashedAtMs.length, 0);
 
-test('a crashing request crashes at most two endpoints, however often it is retried', async () => {
+test('a crashing request crashes only two endpoints, however often it is retried', async () => {
   await withEntries(1, async (all) => {
     const [testGateway] = all.gateways;
     const statuses: (number | undefined)[] = [];
