--- a/src/agent/endpoint.ts
+++ b/src/agent/endpoint.ts
@@ -10,20 +10,25 @@
 }
 
 /** Time that an engine may take for an answer, ms. */
-const ANSWER_MS = 2000;
+const RESPONSE_TIMEOUT_MS = 2000;
 
 /**
  * Connects to an engine.
  * @example await connectEndpoint(connections, 'http://10.1.0.4:8000').read('/state');
  */
 export function connectEndpoint(connections: KeptConnections, origin: string): Endpoint {
-  const short = { origin, headersTimeout: ANSWER_MS, bodyTimeout: ANSWER_MS };
+  const baseRequest = {
+    origin,
+    headersTimeout: RESPONSE_TIMEOUT_MS,
+    bodyTimeout: RESPONSE_TIMEOUT_MS,
+  };
   return {
-    read: (path) => connections.call({ ...short, path, method: 'GET' }, (res) => res.body.json()),
+    read: (path) =>
+      connections.call({ ...baseRequest, path, method: 'GET' }, (res) => res.body.json()),
     order: (path, body) =>
       connections.call(
         {
-          ...short,
+          ...baseRequest,
           path,
           method: 'POST',
           headers: { 'content-type': 'application/json' },
--- a/src/agent/placement-round.ts
+++ b/src/agent/placement-round.ts
@@ -16,25 +16,25 @@
 import type { ConfigurationBody, GroupConfig } from '../generated/configuration.types.js';
 
 /** Experts of a group that an event declares hot now or soon, and whether one runs now. */
-function declaredNow(
+function activeDeclaredShifts(
   body: ConfigurationBody,
   group: string,
   wallMs: number,
 ): { shifts: DeclaredShift[]; inEvent: boolean } {
-  const near = (body.events ?? []).filter(
+  const activeEvents = (body.events ?? []).filter(
     (e) => wallMs >= e.startMs - PRELOAD_MS && wallMs < e.startMs + e.durationMs,
   );
   return {
-    shifts: near.flatMap((e) => (e.hotExperts ?? []).filter((h) => h.group === group)),
-    inEvent: near.some((e) => wallMs >= e.startMs),
+    shifts: activeEvents.flatMap((e) => (e.hotExperts ?? []).filter((h) => h.group === group)),
+    inEvent: activeEvents.some((e) => wallMs >= e.startMs),
   };
 }
 
 /** Makes one group's decisions; lives as long as its coordinator does. */
 export class PlacementRound {
   private readonly estimate: PopularityEstimate;
-  private lastMs: number;
-  private savedBytes = 0;
+  private lastRoundAtMs: number;
+  private availableBytes = 0;
   private sequence = 0;
 
   constructor(
@@ -42,24 +42,24 @@
     private readonly group: GroupConfig,
   ) {
     this.estimate = new PopularityEstimate(group.layers, group.experts, HALF_LIFE_MS);
-    this.lastMs = ctx.clock.nowMs();
+    this.lastRoundAtMs = ctx.clock.nowMs();
   }
 
   /** The choice of this round, for `runSwitch`. */
   readonly chooseMap: ChooseMap = (view) => {
     const body = this.ctx.store.config?.body;
     if (!body || !view.map) return undefined;
-    const elapsedMs = this.ctx.clock.nowMs() - this.lastMs;
-    this.lastMs = this.ctx.clock.nowMs();
+    const elapsedMs = this.ctx.clock.nowMs() - this.lastRoundAtMs;
+    this.lastRoundAtMs = this.ctx.clock.nowMs();
     this.estimate.add(this.countsOf(view, view.map), elapsedMs);
-    const { shifts, inEvent } = declaredNow(body, this.group.id, this.ctx.clock.wallMs());
+    const { shifts, inEvent } = activeDeclaredShifts(body, this.group.id, this.ctx.clock.wallMs());
     const policy = this.policyOf(body, inEvent, elapsedMs);
     const plan = planPlacement(view.map.layers, withShift(this.estimate.read(), shifts, 1), policy);
     this.ctx.metrics.observe('group_skew_permille', plan.skewBefore * 1000, {
       group: this.group.id,
     });
     if (plan.fetches.length === 0) return undefined;
-    this.savedBytes -= plan.bytes;
+    this.availableBytes -= plan.bytes;
     this.ctx.metrics.count('experts_moved_total', { group: this.group.id }, plan.fetches.length);
     this.ctx.log.info('placement.planned', {
       group: this.group.id,
@@ -93,15 +93,18 @@
     const { policy } = body;
     // The store's rate is split among the groups by the document alone, with no message.
     const bytesPerSecond = policy.weightStoreBytesPerSecond / Math.max(1, body.groups.length);
-    const mostBytes = (bytesPerSecond * MAX_SAVED_MS) / 1000;
-    this.savedBytes = Math.min(mostBytes, this.savedBytes + (bytesPerSecond * elapsedMs) / 1000);
+    const maxBytes = (bytesPerSecond * MAX_SAVED_MS) / 1000;
+    this.availableBytes = Math.min(
+      maxBytes,
+      this.availableBytes + (bytesPerSecond * elapsedMs) / 1000,
+    );
     return {
       skewWeight: policy.skewWeight,
       costWeight: policy.costWeight * (inEvent ? (policy.eventCostFactor ?? 1) : 1),
       expertBytes: this.group.expertBytes,
       slotsPerRank: this.group.slotsPerRank,
       bytesPerSecond,
-      budgetBytes: this.savedBytes,
+      budgetBytes: this.availableBytes,
       balancedStepMs: BALANCED_STEP_MS,
       horizonSteps: HORIZON_MS / BALANCED_STEP_MS,
     };
--- a/src/agent/rank.ts
+++ b/src/agent/rank.ts
@@ -28,12 +28,12 @@
 }
 
 /** Time one order may take, ms; loading experts is the longest part. */
-const ORDER_MS = 10_000;
-const HELLO_MS = 500;
-const NOT_FOUND = 404;
+const ORDER_TIMEOUT_MS = 10_000;
+const HELLO_TIMEOUT_MS = 500;
+const HTTP_NOT_FOUND = 404;
 
 /** The endpoint's order interface, behind the gate. */
-function engineOf(endpoint: Endpoint, checksFences: boolean): RankEngine {
+function createRankEngine(endpoint: Endpoint, checksFences: boolean): RankEngine {
   return {
     read: async ({ counts }) =>
       (await endpoint.read(counts ? '/state?counts=take' : '/state')) as EngineState & {
@@ -43,7 +43,7 @@
       // An engine that checks no fences keeps none either.
       if (order.kind === 'fence' && !checksFences) return 'done';
       const { status } = await endpoint.order('/orders', order);
-      if (status === NOT_FOUND) throw new Error('the endpoint takes no orders');
+      if (status === HTTP_NOT_FOUND) throw new Error('the endpoint takes no orders');
       return status === 200 ? 'done' : 'refused';
     },
   };
@@ -63,13 +63,13 @@
   const rankIndex = (): number => groupOf()?.endpoints.indexOf(settings.id) ?? 0;
   const gate = new RankGate(
     ctx.incarnation,
-    engineOf(endpoint, settings.checksFences ?? true),
+    createRankEngine(endpoint, settings.checksFences ?? true),
     rankIndex,
   );
-  let highest = 0;
-  let known: ExpertMap | undefined;
-  let last: SwitchEnd | undefined;
-  let round: { shape: string; placement: PlacementRound } | undefined;
+  let highestEpoch = 0;
+  let knownMap: ExpertMap | undefined;
+  let lastSwitch: SwitchEnd | undefined;
+  let placementRound: { shape: string; placement: PlacementRound } | undefined;
 
   const pauseMs = (): number => {
     const { groupMs } = ctx.settings.timing;
@@ -82,19 +82,21 @@
     if (target === settings.id) return gate.serve(order);
     const address = ctx.view().agentByEndpoint.get(target)?.address;
     if (!address) throw new Error(`the list names no agent of ${target}`);
-    return ctx.peers.at(address).rank.mutate(order, { signal: AbortSignal.timeout(ORDER_MS) });
+    return ctx.peers
+      .at(address)
+      .rank.mutate(order, { signal: AbortSignal.timeout(ORDER_TIMEOUT_MS) });
   }
 
   /** Whether a rank before this one answers; it then coordinates. Only a hint: two may, safely. */
-  async function earlierRankLives(group: GroupConfig): Promise<boolean> {
-    const earlier = group.endpoints.slice(0, rankIndex());
-    for (const endpointId of earlier) {
+  async function hasLiveLowerRank(group: GroupConfig): Promise<boolean> {
+    const lowerRanks = group.endpoints.slice(0, rankIndex());
+    for (const endpointId of lowerRanks) {
       const address = ctx.view().agentByEndpoint.get(endpointId)?.address;
       if (!address) continue;
       try {
         const hello = await ctx.peers
           .at(address)
-          .hello.query(undefined, { signal: AbortSignal.timeout(HELLO_MS) });
+          .hello.query(undefined, { signal: AbortSignal.timeout(HELLO_TIMEOUT_MS) });
         if (!hello.leaving) return true;
       } catch {
         ctx.metrics.count('rank_hello_failures_total');
@@ -105,31 +107,32 @@
 
   async function coordinate(group: GroupConfig): Promise<void> {
     // A new document that leaves the group as it was keeps what was learnt of its popularity.
-    const shape = JSON.stringify(group);
-    if (round?.shape !== shape) round = { shape, placement: new PlacementRound(ctx, group) };
-    const c: Coordination = {
+    const groupConfigJson = JSON.stringify(group);
+    if (placementRound?.shape !== groupConfigJson)
+      placementRound = { shape: groupConfigJson, placement: new PlacementRound(ctx, group) };
+    const coordination: Coordination = {
       group: group.id,
       ranks: group.endpoints.length,
       callRanks: callEachRank((rank, order) => callRank(group, rank, order)),
-      known,
+      known: knownMap,
       wantsCounts: true,
       marginSteps: () => ARM_MARGIN_STEPS,
     };
-    const epoch = nextEpoch(Math.max(highest, gate.epoch), rankIndex());
-    const { chooseMap } = round.placement;
-    last = await runSwitch(c, epoch, (view) => {
-      known = view.map;
+    const epoch = nextEpoch(Math.max(highestEpoch, gate.epoch), rankIndex());
+    const { chooseMap } = placementRound.placement;
+    lastSwitch = await runSwitch(coordination, epoch, (view) => {
+      knownMap = view.map;
       // A pause before the choice makes the promises old news: the next round takes new ones.
       return ctx.pause.lateMs() > 0 ? undefined : chooseMap(view);
     });
-    highest = last.kind === 'blocked' ? Math.max(epoch, last.highest) : epoch;
-    ctx.metrics.count('switch_rounds_total', { end: last.kind });
-    if (last.kind !== 'kept')
+    highestEpoch = lastSwitch.kind === 'blocked' ? Math.max(epoch, lastSwitch.highest) : epoch;
+    ctx.metrics.count('switch_rounds_total', { end: lastSwitch.kind });
+    if (lastSwitch.kind !== 'kept')
       ctx.log.info('switch.round', {
         group: group.id,
         epoch,
-        end: last.kind,
-        detail: 'detail' in last ? last.detail : undefined,
+        end: lastSwitch.kind,
+        detail: 'detail' in lastSwitch ? lastSwitch.detail : undefined,
       });
   }
 
@@ -139,7 +142,7 @@
       group: groupOf()?.id,
       rank: rankIndex(),
       promised: gate.epoch,
-      lastRound: last,
+      lastRound: lastSwitch,
     }),
     run: async (signal) => {
       while (!signal.aborted) {
@@ -147,7 +150,7 @@
         const group = groupOf();
         if (!group || signal.aborted) continue;
         try {
-          if (!(await earlierRankLives(group))) await coordinate(group);
+          if (!(await hasLiveLowerRank(group))) await coordinate(group);
         } catch (err) {
           ctx.metrics.count('switch_rounds_total', { end: 'failed' });
           ctx.log.warn('switch.failed', { group: group.id, err: errorText(err) });
--- a/src/group/agent-process.ts
+++ b/src/group/agent-process.ts
@@ -25,15 +25,15 @@
 import { serveRpc } from '../rpc/serve.js';
 import { relayPlace } from '../runtime/relays.js';
 import type { InstanceSettings } from '../gateway/types.js';
-import { Askers } from './askers.js';
-import { changePauseMs, DIGEST_STALE_MS, OWN_PAUSE_MS } from './consts.js';
+import { ActiveEntries } from './active-entries.js';
+import { changePauseMs, MAX_DIGEST_AGE_MS, OWN_ENGINE_POLL_INTERVAL_MS } from './consts.js';
 import { CoordinatorTask } from './coordinator-task.js';
 import type { EngineCalls } from './engine-calls.js';
 import { FanOut, serveBranch, type CallAgent } from './fan-out.js';
-import { mayBelong } from './group-view.js';
-import { HeldDigest } from './held-digest.js';
+import { mayBeSameGroup } from './group-view.js';
+import { LatestDigest } from './latest-digest.js';
 import { OwnGroup } from './own-group.js';
-import { Succession } from './succession.js';
+import { CoordinatorElection } from './coordinator-election.js';
 import { createSwitchEngine } from './switch-engine.js';
 
 /** What an agent is started with. */
@@ -48,34 +48,34 @@
  * Starts an agent.
  * @example await startAgent({ settings, reread, store, connect });
  */
-export async function startAgent(parts: AgentParts): Promise<void> {
-  const { settings } = parts;
+export async function startAgent(deps: AgentParts): Promise<void> {
+  const { settings } = deps;
   const { ownEndpoint } = settings;
   if (!ownEndpoint) throw new Error('the settings name no engine of this machine');
   const clock = systemClock;
   const log = createLog('info', { instance: settings.instance });
   const metrics = new Metrics();
   const state = new PublishedState();
-  const shared = { clock, random: Math.random, log, metrics };
+  const sharedDeps = { clock, random: Math.random, log, metrics };
   const ageClock = new SuspensionClock(clock, noteStep(log, metrics));
   /** Parts that hold what others told: it grows old also while the machine is suspended. */
-  const known = { ...shared, clock: ageClock };
-  const ending = new AbortController();
+  const suspensionAwareDeps = { ...sharedDeps, clock: ageClock };
+  const shutdown = new AbortController();
   const group = new OwnGroup(state, ownEndpoint, settings.internalPort);
   const peers = createPeers(new KeptConnections({ connect: { timeout: CONNECT_MS } }));
   const source = new RelayedSource({
-    ...known,
+    ...suspensionAwareDeps,
     state,
-    store: parts.store,
+    store: deps.store,
     ...relayPlace(settings),
     ask: askRelay(peers),
     pause: sleep,
     pace: AGENT_RELAYED,
-    wantsConfig: () => group.lacksEngine(),
+    wantsConfig: () => group.lacksEngineInfo(),
   });
   void followPublished(
     {
-      ...known,
+      ...suspensionAwareDeps,
       state,
       source,
       pace: {
@@ -85,48 +85,52 @@
           return changePauseMs(group.agents().length, group.isComplete());
         },
       },
-      isLacking: () => group.lacksEngine(),
+      isLacking: () => group.lacksEngineInfo(),
     },
-    ending.signal,
+    shutdown.signal,
   );
   const agents = (): string[] => group.agents();
   const self = `${settings.ip}:${settings.internalPort}`;
-  const layers = (): number => group.engine()?.layers ?? 0;
+  const layers = (): number => group.engineInfo()?.layers ?? 0;
   /** A gate before the engine at a host; ports are the same on all instances. */
-  const gateAt = (host: string, isOwn: boolean): RankGate => {
-    const calls = parts.connect(`http://${host}:${ownEndpoint.port}`, log, metrics);
-    const engine = createSwitchEngine({ calls, clock, layers, pause: sleep, isOwn });
+  const createGate = (host: string, isLocal: boolean): RankGate => {
+    const calls = deps.connect(`http://${host}:${ownEndpoint.port}`, log, metrics);
+    const engine = createSwitchEngine({ calls, clock, layers, pause: sleep, isLocal });
     return new RankGate(newIncarnation(clock.wallMs()), engine, () => 0);
   };
-  const gate = gateAt(ownEndpoint.host, true);
-  const digest = new HeldDigest(ageClock);
-  const askers = new Askers();
-  const succession = new Succession({
-    ...shared,
+  const gate = createGate(ownEndpoint.host, true);
+  const digest = new LatestDigest(ageClock);
+  const activeEntries = new ActiveEntries();
+  const election = new CoordinatorElection({
+    ...sharedDeps,
     self,
     rank: () => group.rank,
     size: () => agents().length,
   });
   /** Whether an order comes from the own group, as far as either side knows; an empty name is none. */
-  const isOwnGroup = (order: RankOrder): boolean =>
-    mayBelong(group.group, order.group || undefined);
-  const takeDigest = (newest: GroupDigest | undefined): void => {
-    if (newest && digest.take(newest)) group.noteDigest(newest);
+  const mayBeOwnGroup = (order: RankOrder): boolean =>
+    mayBeSameGroup(group.group, order.group || undefined);
+  const applyDigest = (received: GroupDigest | undefined): void => {
+    if (received && digest.update(received)) group.recordDigest(received);
   };
   const serveRank = async (order: RankOrder): ReturnType<RankGate['serve']> => {
-    if (order.kind === 'look' && isOwnGroup(order)) {
-      takeDigest(order.digest);
-      if (order.from !== undefined) succession.noteLook(order.from);
+    if (order.kind === 'look' && mayBeOwnGroup(order)) {
+      applyDigest(order.digest);
+      if (order.from !== undefined) election.recordPoll(order.from);
     }
     const reply = await gate.serve(order);
-    group.noteOwn(reply);
+    group.recordOwnReply(reply);
     if (order.kind !== 'look') return reply;
-    const heard = succession.heardBesides(order.from);
-    return { ...reply, askers: askers.recent(clock.nowMs()), ...(heard && { heard }) };
+    const otherCoordinator = election.recentPollerExcept(order.from);
+    return {
+      ...reply,
+      askers: activeEntries.recent(clock.nowMs()),
+      ...(otherCoordinator && { heard: otherCoordinator }),
+    };
   };
 
   /** Asks the own engine until it has told its group and rank: nobody else may ask before. */
-  const learnOwn = async (): Promise<void> => {
+  const discoverOwnRank = async (): Promise<void> => {
     while (group.rank === undefined) {
       try {
         await serveRank({ group: '', kind: 'look', epoch: 0 });
@@ -134,38 +138,38 @@
         metrics.count('own_engine_failures_total');
         log.debug('engine.unseen', { err: errorText(err) });
       }
-      await sleep(OWN_PAUSE_MS);
+      await sleep(OWN_ENGINE_POLL_INTERVAL_MS);
     }
   };
 
-  const standIns = new Map<string, RankGate>();
+  const directGates = new Map<string, RankGate>();
   /** A gate of our own before another agent's engine. */
-  const standInFor = (address: string): RankGate => {
-    const known = standIns.get(address);
-    if (known) return known;
-    const made = gateAt(hostOf(address), false);
-    standIns.set(address, made);
-    return made;
+  const directGateFor = (address: string): RankGate => {
+    const existing = directGates.get(address);
+    if (existing) return existing;
+    const created = createGate(hostOf(address), false);
+    directGates.set(address, created);
+    return created;
   };
 
-  const callAgent: CallAgent = (address, order, withinMs) =>
+  const callAgent: CallAgent = (address, order, timeoutMs) =>
     address === self
       ? serveRank(order)
-      : peers.at(address).rank.mutate(order, { signal: AbortSignal.timeout(withinMs) });
+      : peers.at(address).rank.mutate(order, { signal: AbortSignal.timeout(timeoutMs) });
   const fanOut = new FanOut({
     self,
     clock,
     call: callAgent,
-    callBranch: (head, order, withinMs) =>
-      peers.at(head).branch.mutate(order, { signal: AbortSignal.timeout(withinMs) }),
+    callBranch: (forwarder, order, timeoutMs) =>
+      peers.at(forwarder).branch.mutate(order, { signal: AbortSignal.timeout(timeoutMs) }),
   });
   const server = serveRpc({
     rank: serveRank,
     branch: (order) => serveBranch(callAgent, order),
-    group: (ask) => {
-      if (ask.sends) askers.note(ask.from, clock.nowMs());
+    group: (request) => {
+      if (request.sends) activeEntries.record(request.from, clock.nowMs());
       // A digest that nobody renews tells of a group as it was.
-      return digest.read(DIGEST_STALE_MS);
+      return digest.read(MAX_DIGEST_AGE_MS);
     },
   });
   process.on('SIGTERM', () => {
@@ -174,21 +178,21 @@
   });
   await listen(server, { host: settings.ip, port: settings.internalPort });
   const task = new CoordinatorTask({
-    ...shared,
+    ...sharedDeps,
     self,
     group: () => group.group,
     agents,
-    noteReply: (address, reply) => {
-      group.noteReply(address, reply);
-      succession.noteReply(reply);
+    onReply: (address, reply) => {
+      group.recordReply(address, reply);
+      election.recordReply(reply);
     },
-    engine: () => group.engine(),
+    engine: () => group.engineInfo(),
     pause: sleep,
-    standIn: (address, order) => standInFor(address).serve(order),
-    callAll: (...calls) => fanOut.callAll(...calls),
+    callEngineDirectly: (address, order) => directGateFor(address).serve(order),
+    callAll: (...args) => fanOut.callAll(...args),
   });
-  watchSettings(parts.reread, settings, log);
-  void task.run(succession, ending.signal);
-  void learnOwn();
+  watchSettings(deps.reread, settings, log);
+  void task.run(election, shutdown.signal);
+  void discoverOwnRank();
   log.info('process.started', { self, engine: `${ownEndpoint.host}:${ownEndpoint.port}` });
 }
--- a/src/group/coordinator-task.ts
+++ b/src/group/coordinator-task.ts
@@ -5,30 +5,30 @@
 import type { Metrics } from '../core/metrics/index.js';
 import { hostOf, type EngineInfo } from '../core/published/index.js';
 import {
-  BUSY_LOOK_PAUSE_MS,
-  LEAST_SKEW_GAIN,
-  LEAST_TOLD_RANKS,
-  LARGE_LOOK_PAUSE_MS,
-  LOG_PAUSE_MS,
-  LOOK_PAUSE_MS,
-  MOST_DIRECT,
-  SILENT_MS,
-  SKEW_LOG_PAUSE_MS,
-  STANDS_MS,
+  SWITCHING_POLL_INTERVAL_MS,
+  MIN_SKEW_IMPROVEMENT,
+  MIN_DIGEST_REPLIES,
+  LARGE_GROUP_POLL_INTERVAL_MS,
+  LOG_INTERVAL_MS,
+  POLL_INTERVAL_MS,
+  MAX_DIRECT_CALLS,
+  UNRESPONSIVE_AFTER_MS,
+  SKEW_LOG_INTERVAL_MS,
+  STALLED_AFTER_MS,
 } from './consts.js';
-import { Digester } from './digest.js';
-import { GroupLooks, type LookParts, type Sighting } from './group-looks.js';
-import { addressesOf, KnownMaps, orderReplies, type GroupReplies } from './group-view.js';
-import { HeldDigest } from './held-digest.js';
-import { mapOf, MapPlanner } from './map-planner.js';
+import { DigestBuilder } from './digest-builder.js';
+import { GroupPoller, type GroupPollerDeps, type PollResult } from './group-poller.js';
+import { addressesOf, KnownMaps, sortByRank, type GroupReplies } from './group-view.js';
+import { LatestDigest } from './latest-digest.js';
+import { toExpertMap, MapPlanner } from './map-planner.js';
 import { RoundTimes } from './round-times.js';
 import { SwitchRounds } from './switch-rounds.js';
 
 /** What a coordinator needs. */
-export interface CoordinatorParts extends LookParts {
+export interface CoordinatorDeps extends GroupPollerDeps {
   readonly engine: () => EngineInfo | undefined;
   /** Acts for the agent at an address, straight on its engine; used only while that agent is silent. */
-  readonly standIn: (address: string, order: RankOrder) => Promise<RankReply>;
+  readonly callEngineDirectly: (address: string, order: RankOrder) => Promise<RankReply>;
   /** Waits, ms; a test may bring its own time. */
   readonly pause: (ms: number) => Promise<void>;
   readonly random: () => number;
@@ -37,115 +37,127 @@
 }
 
 /** Tells an agent whether it coordinates. */
-export interface CoordinatorLine {
+export interface CoordinatorRole {
   /** Whether it is to look at the group. */
-  readonly isDue: () => boolean;
+  readonly isCandidate: () => boolean;
   /** Whether it is to act on what it saw. */
-  readonly takesOver: () => boolean;
+  readonly shouldCoordinate: () => boolean;
 }
 
 /** Coordinates while its line says so. */
 export class CoordinatorTask {
-  private readonly looks: GroupLooks;
+  private readonly poller: GroupPoller;
   private readonly maps = new KnownMaps();
   private readonly planner: MapPlanner;
   private readonly rounds: SwitchRounds;
-  private readonly digester: Digester;
-  private readonly digest: HeldDigest;
+  private readonly digestBuilder: DigestBuilder;
+  private readonly latestDigest: LatestDigest;
   private isSwitching = false;
   /** Whether it looked at the group the last time that it was to see to it. */
-  private looksOn = false;
+  private isPolling = false;
   /** Since when some agent has not answered, while a switch is open. */
-  private silentSinceMs: number | undefined;
+  private unresponsiveSinceMs: number | undefined;
   private lastStep = 0;
-  private steppedAtMs = 0;
+  private lastStepAtMs = 0;
   private loggedAtMs = Number.NEGATIVE_INFINITY;
   private skewLoggedAtMs = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly parts: CoordinatorParts) {
-    this.looks = new GroupLooks(parts);
-    this.digester = new Digester(parts.clock);
-    this.digest = new HeldDigest(parts.clock);
-    this.planner = new MapPlanner(parts.clock);
-    this.rounds = new SwitchRounds(parts, () => this.digest.read()?.stepMs ?? 0);
+  constructor(private readonly deps: CoordinatorDeps) {
+    this.poller = new GroupPoller(deps);
+    this.digestBuilder = new DigestBuilder(deps.clock);
+    this.latestDigest = new LatestDigest(deps.clock);
+    this.planner = new MapPlanner(deps.clock);
+    this.rounds = new SwitchRounds(deps, () => this.latestDigest.read()?.stepMs ?? 0);
   }
 
   /** Runs until the signal aborts. */
-  async run(line: CoordinatorLine, signal: AbortSignal): Promise<void> {
+  async run(role: CoordinatorRole, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.parts.pause(this.pauseMs() * (0.9 + 0.2 * this.parts.random()));
-      this.looksOn = line.isDue();
-      if (!this.looksOn) continue;
+      await this.deps.pause(this.pollIntervalMs() * (0.9 + 0.2 * this.deps.random()));
+      this.isPolling = role.isCandidate();
+      if (!this.isPolling) continue;
       try {
-        await this.round(line);
+        await this.runRound(role);
       } catch (err) {
-        this.note('round failed', errorText(err));
+        this.recordSkippedRound('round failed', errorText(err));
       }
     }
   }
 
-  private pauseMs(): number {
+  private pollIntervalMs(): number {
     // Who may have to take over looks whether it has to more often than agents take over from one another.
-    if (!this.looksOn || this.parts.agents().length <= MOST_DIRECT) return LOOK_PAUSE_MS;
-    return this.isSwitching ? BUSY_LOOK_PAUSE_MS : LARGE_LOOK_PAUSE_MS;
+    if (!this.isPolling || this.deps.agents().length <= MAX_DIRECT_CALLS) return POLL_INTERVAL_MS;
+    return this.isSwitching ? SWITCHING_POLL_INTERVAL_MS : LARGE_GROUP_POLL_INTERVAL_MS;
   }
 
-  private async round(line: CoordinatorLine): Promise<void> {
-    const startedAtMs = this.parts.clock.nowMs();
-    const seen = await this.looks.look(this.digest.read(), this.maps.ids, this.isSwitching);
-    if (!line.takesOver()) return;
-    if (seen.kind === 'unseen') return this.goOnUnseen(seen.addresses, seen.replies);
-    this.silentSinceMs = undefined;
-    this.takeDigest(seen, this.parts.clock.nowMs() - startedAtMs);
-    this.rounds.noteEpochs(seen.replies);
-    this.planner.takeCounts(seen.fresh);
+  private async runRound(role: CoordinatorRole): Promise<void> {
+    const startedAtMs = this.deps.clock.nowMs();
+    const polled = await this.poller.poll(
+      this.latestDigest.read(),
+      this.maps.ids,
+      this.isSwitching,
+    );
+    if (!role.shouldCoordinate()) return;
+    if (polled.kind === 'unseen')
+      return this.handleIncompletePoll(polled.addresses, polled.replies);
+    this.unresponsiveSinceMs = undefined;
+    this.updateDigest(polled, this.deps.clock.nowMs() - startedAtMs);
+    this.rounds.recordEpochs(polled.replies);
+    this.planner.addCounts(polled.fresh);
     // Looks go on while a switch is made: entries and the next plan need what they tell.
-    if (!this.isSwitching) this.goOn(seen.replies, seen.addresses);
+    if (!this.isSwitching) this.advance(polled.replies, polled.addresses);
   }
 
   /** Keeps the digest of a look that took so long, unless too few ranks answered to tell of all. */
-  private takeDigest(seen: Extract<Sighting, { kind: 'seen' }>, tookMs: number): void {
-    if (seen.telling.length < Math.min(LEAST_TOLD_RANKS, seen.replies.length)) return;
-    const digest = this.digester.take(seen.replies, seen.telling, seen.addresses.map(hostOf));
-    this.digest.take({ ...digest, ageMs: tookMs });
+  private updateDigest(polled: Extract<PollResult, { kind: 'seen' }>, tookMs: number): void {
+    if (polled.loadReplies.length < Math.min(MIN_DIGEST_REPLIES, polled.replies.length)) return;
+    const digest = this.digestBuilder.build(
+      polled.replies,
+      polled.loadReplies,
+      polled.addresses.map(hostOf),
+    );
+    this.latestDigest.update({ ...digest, ageMs: tookMs });
   }
 
-  private goOnUnseen(
+  private handleIncompletePoll(
     addresses: readonly string[],
     replies: readonly (RankReply | undefined)[],
   ): void {
-    this.digest.take(this.digester.take(undefined, [], []));
-    const silent = addresses.filter((_, i) => replies[i]?.rank === undefined);
-    this.note('group not whole', `${silent.length} of ${addresses.length}: ${silent.join(',')}`);
-    if (replies.some((reply) => reply?.armed) || this.stands(replies))
-      this.startRescue(addresses, replies);
+    this.latestDigest.update(this.digestBuilder.build(undefined, [], []));
+    const unresponsive = addresses.filter((_, i) => replies[i]?.rank === undefined);
+    this.recordSkippedRound(
+      'group not whole',
+      `${unresponsive.length} of ${addresses.length}: ${unresponsive.join(',')}`,
+    );
+    if (replies.some((reply) => reply?.armed) || this.isStalled(replies))
+      this.recoverIfUnresponsive(addresses, replies);
   }
 
   /** Whether the group has work and has not begun a step for long: a rank that is not seen may hold it. */
-  private stands(replies: readonly (RankReply | undefined)[]): boolean {
-    const nowMs = this.parts.clock.nowMs();
+  private isStalled(replies: readonly (RankReply | undefined)[]): boolean {
+    const nowMs = this.deps.clock.nowMs();
     const step = Math.max(...replies.map((reply) => reply?.step ?? 0));
-    if (step !== this.lastStep) [this.lastStep, this.steppedAtMs] = [step, nowMs];
+    if (step !== this.lastStep) [this.lastStep, this.lastStepAtMs] = [step, nowMs];
     const hasWork = replies.some((reply) => (reply?.running ?? 0) > 0);
-    return hasWork && nowMs - this.steppedAtMs > STANDS_MS;
+    return hasWork && nowMs - this.lastStepAtMs > STALLED_AFTER_MS;
   }
 
   /** Begins a rescue once an agent has been silent for long enough; looks go on meanwhile. */
-  private startRescue(
+  private recoverIfUnresponsive(
     addresses: readonly string[],
     replies: readonly (RankReply | undefined)[],
   ): void {
-    const nowMs = this.parts.clock.nowMs();
-    this.silentSinceMs ??= nowMs;
-    if (this.isSwitching || nowMs - this.silentSinceMs < SILENT_MS) return;
-    this.startSwitch(this.rescue(addresses, replies));
+    const nowMs = this.deps.clock.nowMs();
+    this.unresponsiveSinceMs ??= nowMs;
+    if (this.isSwitching || nowMs - this.unresponsiveSinceMs < UNRESPONSIVE_AFTER_MS) return;
+    this.trackSwitch(this.recover(addresses, replies));
   }
 
   /** Takes a switch that has begun; there is one at a time. */
-  private startSwitch(work: Promise<unknown>): void {
+  private trackSwitch(switching: Promise<unknown>): void {
     this.isSwitching = true;
-    void work
-      .catch((err: unknown) => this.parts.log.warn('group.switch', { err: errorText(err) }))
+    void switching
+      .catch((err: unknown) => this.deps.log.warn('group.switch', { err: errorText(err) }))
       .finally(() => (this.isSwitching = false));
   }
 
@@ -153,56 +165,58 @@
    * Ends a switch that a silent agent left open: its rank may hold the group, which nobody else sees.
    * The engines' fences keep whatever that agent still does when it wakes from counting.
    */
-  private async rescue(
+  private async recover(
     addresses: readonly string[],
     replies: readonly (RankReply | undefined)[],
   ): Promise<void> {
-    const look: RankOrder = { group: '', kind: 'look', epoch: 0 };
-    const silent = new Set<string>();
+    const poll: RankOrder = { group: '', kind: 'look', epoch: 0 };
+    const unresponsive = new Set<string>();
     const all = await Promise.all(
       addresses.map(async (address, i) => {
         if (replies[i]?.rank !== undefined) return replies[i];
-        const reply = await this.parts.standIn(address, look).catch(() => undefined);
-        if (!this.looks.isOwn(reply)) return undefined;
-        silent.add(address);
+        const reply = await this.deps.callEngineDirectly(address, poll).catch(() => undefined);
+        if (!this.poller.mayBeMember(reply)) return undefined;
+        unresponsive.add(address);
         return reply;
       }),
     );
-    const ordered = orderReplies(all, addresses.length);
+    const ordered = sortByRank(all, addresses.length);
     if (!ordered) throw new Error('an engine whose agent is silent cannot be reached either');
-    this.rounds.noteEpochs(ordered);
-    const byRank = addressesOf(ordered, all, addresses);
-    const end = await this.rounds.run(byRank, () => undefined, { silent });
-    this.parts.log.info('group.rescue', { silent: [...silent].join(','), end: end.kind });
+    this.rounds.recordEpochs(ordered);
+    const addressByRank = addressesOf(ordered, all, addresses);
+    const end = await this.rounds.run(addressByRank, () => undefined, { silent: unresponsive });
+    this.deps.log.info('group.rescue', { silent: [...unresponsive].join(','), end: end.kind });
   }
 
-  private goOn(ordered: GroupReplies, byRank: readonly string[]): void {
+  private advance(ordered: GroupReplies, addressByRank: readonly string[]): void {
     // A map that every rank has confirmed comes into use by itself as its step begins.
     if (ordered.every((reply) => reply.armed?.confirmed)) return;
     const isOpen = ordered.some((reply) => reply.armed);
-    this.startSwitch(
-      isOpen ? this.rounds.run(byRank, () => undefined) : this.improve(ordered, byRank),
+    this.trackSwitch(
+      isOpen
+        ? this.rounds.run(addressByRank, () => undefined)
+        : this.rebalance(ordered, addressByRank),
     );
   }
 
-  private async improve(replies: GroupReplies, byRank: readonly string[]): Promise<void> {
+  private async rebalance(replies: GroupReplies, addressByRank: readonly string[]): Promise<void> {
     const current = this.maps.inUse(replies);
-    const plan = current && this.planner.plan(current, replies, this.parts.engine());
+    const plan = current && this.planner.plan(current, replies, this.deps.engine());
     if (!plan) return;
-    this.parts.metrics.observe('group_skew_permille', plan.skewBefore * 1000);
-    this.noteSkew(plan.skewBefore);
-    if (plan.copies === 0 || plan.skewBefore < plan.skewAfter * LEAST_SKEW_GAIN) return;
-    const startedAtMs = this.parts.clock.nowMs();
-    const base = mapOf(replies[0]?.mapId ?? '', current);
+    this.deps.metrics.observe('group_skew_permille', plan.skewBefore * 1000);
+    this.logSkew(plan.skewBefore);
+    if (plan.copies === 0 || plan.skewBefore < plan.skewAfter * MIN_SKEW_IMPROVEMENT) return;
+    const startedAtMs = this.deps.clock.nowMs();
+    const base = toExpertMap(replies[0]?.mapId ?? '', current);
     const choose = (view: GroupView): ExpertMap | undefined => {
       if (view.mapId !== base.id) return undefined;
-      const map = mapOf(view.epoch, plan.placement);
-      this.maps.note(map.id, plan.placement);
+      const map = toExpertMap(view.epoch, plan.placement);
+      this.maps.add(map.id, plan.placement);
       return map;
     };
-    const times = new RoundTimes(this.parts.clock);
-    const end = await this.rounds.run(byRank, choose, { base, times });
-    this.parts.log.info('group.switch', {
+    const times = new RoundTimes(this.deps.clock);
+    const end = await this.rounds.run(addressByRank, choose, { base, times });
+    this.deps.log.info('group.switch', {
       end: end.kind,
       detail: 'detail' in end ? end.detail : undefined,
       mapId: 'mapId' in end ? end.mapId : undefined,
@@ -212,26 +226,26 @@
       skewAfter: Number(plan.skewAfter.toFixed(3)),
       tokens: Math.round(plan.tokens),
       planMs: Math.round(plan.tookMs),
-      tookMs: Math.round(this.parts.clock.nowMs() - startedAtMs),
+      tookMs: Math.round(this.deps.clock.nowMs() - startedAtMs),
       times: times.text,
     });
   }
 
   /** Logs the skew that is lived with, now and then. */
-  private noteSkew(skew: number): void {
-    const nowMs = this.parts.clock.nowMs();
-    if (nowMs - this.skewLoggedAtMs < SKEW_LOG_PAUSE_MS) return;
+  private logSkew(skew: number): void {
+    const nowMs = this.deps.clock.nowMs();
+    if (nowMs - this.skewLoggedAtMs < SKEW_LOG_INTERVAL_MS) return;
     this.skewLoggedAtMs = nowMs;
-    const stepMs = this.digest.read()?.stepMs;
-    this.parts.log.info('group.seen', { skew: Number(skew.toFixed(2)), stepMs });
+    const stepMs = this.latestDigest.read()?.stepMs;
+    this.deps.log.info('group.seen', { skew: Number(skew.toFixed(2)), stepMs });
   }
 
   /** Logs why no round can be made, now and then. */
-  private note(why: string, detail: string): void {
-    const nowMs = this.parts.clock.nowMs();
-    this.parts.metrics.count('rounds_without_group_total', { why });
-    if (nowMs - this.loggedAtMs < LOG_PAUSE_MS) return;
+  private recordSkippedRound(why: string, detail: string): void {
+    const nowMs = this.deps.clock.nowMs();
+    this.deps.metrics.count('rounds_without_group_total', { why });
+    if (nowMs - this.loggedAtMs < LOG_INTERVAL_MS) return;
     this.loggedAtMs = nowMs;
-    this.parts.log.info('group.waiting', { why, detail });
+    this.deps.log.info('group.waiting', { why, detail });
   }
 }
--- a/src/group/digest.ts
+++ b/src/group/digest-builder.ts
@@ -2,24 +2,24 @@
 import type { Clock } from '../core/clock/index.js';
 import type { GroupDigest } from '../generated/messages.types.js';
 import type { RankReply } from '../core/groups/index.js';
-import { loadOf, runningOf, type GroupReplies } from './group-view.js';
+import { loadOf, totalLoad, type GroupReplies } from './group-view.js';
 
 /** Weight of the newest step time in the mean. */
-const STEP_WEIGHT = 0.4;
+const NEWEST_STEP_WEIGHT = 0.4;
 
 /**
  * Streams of a whole group from the ranks that answered one look. What the others ran at an earlier look is old, so each of
  * them counts as one of those that answered.
  */
-function runningIn(replies: GroupReplies, asked: readonly RankReply[]): number {
-  return (runningOf(asked) * replies.length) / Math.max(1, asked.length);
+function estimateGroupLoad(replies: GroupReplies, answered: readonly RankReply[]): number {
+  return (totalLoad(answered) * replies.length) / Math.max(1, answered.length);
 }
 
 /** Makes a digest of each round. */
-export class Digester {
+export class DigestBuilder {
   private group = '';
-  private step: number | undefined;
-  private atMs = 0;
+  private lastStep: number | undefined;
+  private lastStepAtMs = 0;
   private stepMs = 0;
 
   constructor(private readonly clock: Clock) {}
@@ -28,13 +28,13 @@
    * The digest of one round; `replies` is undefined when the group was not whole, `asked` are those of this look.
    * @example digester.take(ordered, ordered, hosts).pace
    */
-  take(
+  build(
     replies: GroupReplies | undefined,
-    asked: readonly RankReply[],
+    answered: readonly RankReply[],
     hosts: readonly string[],
   ): GroupDigest {
     if (!replies) {
-      this.step = undefined;
+      this.lastStep = undefined;
       return {
         group: this.group,
         whole: false,
@@ -47,9 +47,9 @@
         ageMs: 0,
       };
     }
-    this.takeStep(Math.max(...replies.map((reply) => reply.step)));
+    this.updateStepMs(Math.max(...replies.map((reply) => reply.step)));
     // A group without work makes no step: the time until its next one says nothing.
-    if (!replies.some((reply) => (reply.running ?? 0) > 0)) this.step = undefined;
+    if (!replies.some((reply) => (reply.running ?? 0) > 0)) this.lastStep = undefined;
     this.group = replies[0]?.group ?? '';
     return {
       group: this.group,
@@ -57,20 +57,21 @@
       hosts: [...hosts],
       pace: replies.map((reply) => Number((reply.pace ?? 1).toFixed(2))),
       load: replies.map(loadOf),
-      running: Math.round(runningIn(replies, asked)),
+      running: Math.round(estimateGroupLoad(replies, answered)),
       stepMs: Math.round(this.stepMs),
       entries: new Set(replies.flatMap((reply) => reply.askers ?? [])).size,
       ageMs: 0,
     };
   }
 
-  private takeStep(step: number): void {
+  private updateStepMs(step: number): void {
     const nowMs = this.clock.nowMs();
-    const steps = this.step === undefined ? 0 : step - this.step;
+    const steps = this.lastStep === undefined ? 0 : step - this.lastStep;
     if (steps > 0) {
-      const eachMs = (nowMs - this.atMs) / steps;
-      this.stepMs += (this.stepMs === 0 ? 1 : STEP_WEIGHT) * (eachMs - this.stepMs);
+      const eachMs = (nowMs - this.lastStepAtMs) / steps;
+      this.stepMs += (this.stepMs === 0 ? 1 : NEWEST_STEP_WEIGHT) * (eachMs - this.stepMs);
     }
-    if (steps !== 0 || this.step === undefined) [this.step, this.atMs] = [step, nowMs];
+    if (steps !== 0 || this.lastStep === undefined)
+      [this.lastStep, this.lastStepAtMs] = [step, nowMs];
   }
 }
--- a/src/group/fan-out.ts
+++ b/src/group/fan-out.ts
@@ -11,8 +11,13 @@
 import { packCounts, type RankOrder, type RankReply } from '../core/groups/index.js';
 import type { BranchOrder, BranchReply } from '../generated/messages.types.js';
 import { isRankOrder } from '../generated/messages.validator.js';
-import { BRANCH_MEMBERS, HEAD_AVOIDED_MS, HOP_MS, MOST_DIRECT } from './consts.js';
-import { countsOf } from './group-view.js';
+import {
+  MAX_BRANCH_SIZE,
+  FORWARDER_BACKOFF_MS,
+  FORWARDING_ALLOWANCE_MS,
+  MAX_DIRECT_CALLS,
+} from './consts.js';
+import { sumCounts } from './group-view.js';
 
 /** One agent that an order goes to, and what stands in the order for it alone. */
 export type Member = BranchOrder['members'][number];
@@ -31,7 +36,7 @@
 export type Replies = (RankReply | undefined)[];
 
 /** What sending needs. */
-export interface FanOutParts {
+export interface FanOutDeps {
   readonly self: string;
   readonly call: CallAgent;
   readonly callBranch: CallBranch;
@@ -59,25 +64,25 @@
   call: CallAgent,
   order: RankOrder,
   members: readonly Member[],
-  withinMs: number,
+  timeoutMs: number,
 ): Promise<Replies> {
   const calls = members.map((member) =>
     // Who does not answer is counted and logged by whoever needs all of them.
-    call(member.address, orderFor(order, member), withinMs).catch(() => undefined),
+    call(member.address, orderFor(order, member), timeoutMs).catch(() => undefined),
   );
   return Promise.all(calls);
 }
 
 /** Puts the tokens that were counted at several members into the first reply that tells some. */
-function sumCounts(replies: Replies): Replies {
-  const counts = countsOf(replies);
-  const at = replies.findIndex((reply) => reply?.counted);
-  if (!counts || at < 0) return replies;
+function mergeCounts(replies: Replies): Replies {
+  const counts = sumCounts(replies);
+  const firstCounted = replies.findIndex((reply) => reply?.counted);
+  if (!counts || firstCounted < 0) return replies;
   return replies.map((reply, i) => {
     if (!reply?.counted) return reply;
     const others = { ...reply };
     delete others.counted;
-    return i === at ? { ...others, counted: packCounts(counts) } : others;
+    return i === firstCounted ? { ...others, counted: packCounts(counts) } : others;
   });
 }
 
@@ -90,13 +95,13 @@
   if (!isRankOrder(order))
     throw new Error('the order of a branch does not fit its schema: run daemons of one version');
   const replies = await callEach(call, order, branch.members, branch.withinMs);
-  return { replies: pack(sumCounts(replies).map((reply) => reply ?? null)) };
+  return { replies: pack(mergeCounts(replies).map((reply) => reply ?? null)) };
 }
 
 /** Branches of neighbours: addresses in order lie in one data centre for the most part. */
-function branchesOf(members: readonly Member[]): Member[][] {
+function splitIntoBranches(members: readonly Member[]): Member[][] {
   const sorted = [...members].sort((a, b) => (a.address < b.address ? -1 : 1));
-  const count = Math.ceil(sorted.length / BRANCH_MEMBERS);
+  const count = Math.ceil(sorted.length / MAX_BRANCH_SIZE);
   const size = Math.ceil(sorted.length / count);
   return Array.from({ length: count }, (_, i) => sorted.slice(i * size, (i + 1) * size));
 }
@@ -106,19 +111,20 @@
   /** Agents that failed to pass an order on, and when, monotonic ms. */
   private readonly failedAtMs = new Map<string, number>();
 
-  constructor(private readonly parts: FanOutParts) {}
+  constructor(private readonly deps: FanOutDeps) {}
 
   /**
    * Sends an order to some agents.
    * @example await fanOut.callAll({ group: '', kind: 'look', epoch: 0 }, addresses.map((address) => ({ address })), 250)
    */
-  async callAll(order: RankOrder, members: readonly Member[], withinMs: number): Promise<Replies> {
-    if (members.length <= MOST_DIRECT) return callEach(this.parts.call, order, members, withinMs);
+  async callAll(order: RankOrder, members: readonly Member[], timeoutMs: number): Promise<Replies> {
+    if (members.length <= MAX_DIRECT_CALLS)
+      return callEach(this.deps.call, order, members, timeoutMs);
     const replies = new Map<string, RankReply | undefined>();
-    const packed = pack(order);
-    const branches = branchesOf(members).map(async (branch) => {
-      const told = await this.callBranch(order, packed, branch, withinMs);
-      branch.forEach(({ address }, i) => replies.set(address, told[i]));
+    const packedOrder = pack(order);
+    const branches = splitIntoBranches(members).map(async (branch) => {
+      const branchReplies = await this.callBranch(order, packedOrder, branch, timeoutMs);
+      branch.forEach(({ address }, i) => replies.set(address, branchReplies[i]));
     });
     await Promise.all(branches);
     return members.map(({ address }) => replies.get(address));
@@ -126,33 +132,33 @@
 
   private async callBranch(
     order: RankOrder,
-    packed: string,
+    packedOrder: string,
     members: readonly Member[],
-    withinMs: number,
+    timeoutMs: number,
   ): Promise<Replies> {
-    const { self, call, callBranch } = this.parts;
-    const head = this.headOf(members);
-    if (head === self) return callEach(call, order, members, withinMs);
-    const branch = { order: packed, members: [...members], withinMs };
+    const { self, call, callBranch } = this.deps;
+    const forwarder = this.chooseForwarder(members);
+    if (forwarder === self) return callEach(call, order, members, timeoutMs);
+    const branch = { order: packedOrder, members: [...members], withinMs: timeoutMs };
     try {
-      const { replies } = await callBranch(head, branch, withinMs + HOP_MS);
+      const { replies } = await callBranch(forwarder, branch, timeoutMs + FORWARDING_ALLOWANCE_MS);
       return (unpack(replies) as (RankReply | null)[]).map((reply) => reply ?? undefined);
     } catch {
       // The others of the branch may be well: they are asked without it, and another one passes on from now on.
-      this.failedAtMs.set(head, this.parts.clock.nowMs());
-      return callEach(call, order, members, withinMs);
+      this.failedAtMs.set(forwarder, this.deps.clock.nowMs());
+      return callEach(call, order, members, timeoutMs);
     }
   }
 
   /** The agent that passes orders on: this one, or the first that did not fail lately. */
-  private headOf(members: readonly Member[]): string {
+  private chooseForwarder(members: readonly Member[]): string {
     const addresses = members.map((member) => member.address);
-    if (addresses.includes(this.parts.self)) return this.parts.self;
-    return addresses.find((address) => !this.hasFailed(address)) ?? (addresses[0] as string);
+    if (addresses.includes(this.deps.self)) return this.deps.self;
+    return addresses.find((address) => !this.failedRecently(address)) ?? (addresses[0] as string);
   }
 
-  private hasFailed(address: string): boolean {
+  private failedRecently(address: string): boolean {
     const failedAtMs = this.failedAtMs.get(address);
-    return failedAtMs !== undefined && this.parts.clock.nowMs() - failedAtMs < HEAD_AVOIDED_MS;
+    return failedAtMs !== undefined && this.deps.clock.nowMs() - failedAtMs < FORWARDER_BACKOFF_MS;
   }
 }
--- a/src/group/group-view.ts
+++ b/src/group/group-view.ts
@@ -9,7 +9,7 @@
  * Whether something of one group may belong to another: what has not been told may be either.
  * @example mayBelong('g-1', undefined) // true
  */
-export function mayBelong(own: string | undefined, other: string | undefined): boolean {
+export function mayBeSameGroup(own: string | undefined, other: string | undefined): boolean {
   return own === undefined || other === undefined || own === other;
 }
 
@@ -19,14 +19,14 @@
  * them while they start; where none says, each of those asked is one.
  * @example orderReplies(replies, 12)?.[0]?.rank // 0
  */
-export function orderReplies(
+export function sortByRank(
   replies: readonly (RankReply | undefined)[],
-  asked: number,
+  polledCount: number,
 ): GroupReplies | undefined {
   const byRank = new Map<number, RankReply>();
   for (const reply of replies) if (reply?.rank !== undefined) byRank.set(reply.rank, reply);
-  const told = replies.find((reply) => reply?.ranks !== undefined)?.ranks;
-  const ranks = told ?? asked;
+  const reportedRanks = replies.find((reply) => reply?.ranks !== undefined)?.ranks;
+  const ranks = reportedRanks ?? polledCount;
   if (ranks === 0 || byRank.size !== ranks) return undefined;
   const ordered = Array.from({ length: ranks }, (_, rank) => byRank.get(rank));
   if (!ordered.every((reply) => reply !== undefined)) return undefined;
@@ -70,9 +70,11 @@
  * Tokens by layer and expert that the replies tell together; undefined when none tells any.
  * @example countsOf(replies)?.[layer]?.[expert]
  */
-export function countsOf(replies: readonly (RankReply | undefined)[]): Popularity | undefined {
-  const told = replies.flatMap((reply) => (reply?.counted ? [unpackCounts(reply.counted)] : []));
-  const [first, ...others] = told;
+export function sumCounts(replies: readonly (RankReply | undefined)[]): Popularity | undefined {
+  const reported = replies.flatMap((reply) =>
+    reply?.counted ? [unpackCounts(reply.counted)] : [],
+  );
+  const [first, ...others] = reported;
   if (!first) return undefined;
   for (const counts of others)
     counts.forEach((layer, l) =>
@@ -94,12 +96,12 @@
  * Streams that run or wait at the engines of some ranks together.
  * @example runningOf(replies) // 48
  */
-export function runningOf(replies: readonly RankReply[]): number {
+export function totalLoad(replies: readonly RankReply[]): number {
   return replies.reduce((sum, reply) => sum + loadOf(reply), 0);
 }
 
 /** Maps kept; one is in use and one may be on its way. */
-const MOST_MAPS = 4;
+const MAX_MAPS = 4;
 
 /** Maps that a coordinator made or was told, by id. An id never stands for another map. */
 export class KnownMaps {
@@ -111,8 +113,8 @@
   }
 
   /** Notes a map. */
-  note(id: string, placement: Placement): void {
-    setNewest(this.byId, id, placement, MOST_MAPS);
+  add(id: string, placement: Placement): void {
+    setNewest(this.byId, id, placement, MAX_MAPS);
   }
 
   /**
@@ -124,10 +126,10 @@
     if (id === undefined) return undefined;
     const known = this.byId.get(id);
     if (known && known[0]?.length === replies.length) return known;
-    const told = placementOf(replies);
-    if (told) this.note(id, told);
+    const reported = placementOf(replies);
+    if (reported) this.add(id, reported);
     // What is held does not fit these ranks: it has to be told again.
     else this.byId.delete(id);
-    return told;
+    return reported;
   }
 }
--- a/src/group/held-digest.ts
+++ b/src/group/latest-digest.ts
@@ -3,18 +3,18 @@
 import type { GroupDigest } from '../generated/messages.types.js';
 
 /** A digest and the time at which its ranks were asked. */
-export class HeldDigest {
+export class LatestDigest {
   private digest: GroupDigest | undefined;
-  private askedAtMs = 0;
+  private polledAtMs = 0;
 
   constructor(private readonly clock: Clock) {}
 
   /** Takes a digest unless the one held is newer; true when it was taken. */
-  take(digest: GroupDigest): boolean {
-    const askedAtMs = this.clock.nowMs() - digest.ageMs;
-    if (this.digest && askedAtMs < this.askedAtMs) return false;
+  update(digest: GroupDigest): boolean {
+    const polledAtMs = this.clock.nowMs() - digest.ageMs;
+    if (this.digest && polledAtMs < this.polledAtMs) return false;
     this.digest = digest;
-    this.askedAtMs = askedAtMs;
+    this.polledAtMs = polledAtMs;
     return true;
   }
 
@@ -22,9 +22,9 @@
    * The digest with its age of now; undefined when it is older than that, ms.
    * @example held.read(1500)?.ageMs // 240
    */
-  read(mostAgeMs = Number.POSITIVE_INFINITY): GroupDigest | undefined {
-    const ageMs = Math.round(this.clock.nowMs() - this.askedAtMs);
-    if (!this.digest || ageMs > mostAgeMs) return undefined;
+  read(maxAgeMs = Number.POSITIVE_INFINITY): GroupDigest | undefined {
+    const ageMs = Math.round(this.clock.nowMs() - this.polledAtMs);
+    if (!this.digest || ageMs > maxAgeMs) return undefined;
     return { ...this.digest, ageMs };
   }
 }
--- a/src/group/map-planner.ts
+++ b/src/group/map-planner.ts
@@ -8,9 +8,9 @@
   type RoundPlan,
 } from '../core/placement/index.js';
 import type { EngineInfo } from '../core/published/index.js';
-import { LEAST_TOKENS, PLAN_REST } from './consts.js';
-import { countsOf, runningOf, type GroupReplies } from './group-view.js';
-import { gainPerCopy, newPerRound } from './round-policy.js';
+import { MIN_TOKENS, PLAN_IDLE_FACTOR } from './consts.js';
+import { sumCounts, totalLoad, type GroupReplies } from './group-view.js';
+import { minGainPerCopy, maxNewPerRound } from './round-policy.js';
 
 /** A plan, and what it rests on. */
 export interface MapPlan extends RoundPlan {
@@ -24,7 +24,7 @@
  * A map by its id. That of a round is the round's epoch, so that no other round can have made it.
  * @example mapOf(view.epoch, plan.placement).id // '4096'
  */
-export function mapOf(id: number | string, placement: Placement): ExpertMap {
+export function toExpertMap(id: number | string, placement: Placement): ExpertMap {
   return { id: String(id), layers: placement.map((layer) => layer.map((rank) => [...rank])) };
 }
 
@@ -32,13 +32,13 @@
 export class MapPlanner {
   private estimate: DemandEstimate | undefined;
   /** When the last plan was made, and how long it took, ms. */
-  private planned = { atMs: Number.NEGATIVE_INFINITY, tookMs: 0 };
+  private lastPlan = { atMs: Number.NEGATIVE_INFINITY, tookMs: 0 };
 
   constructor(private readonly clock: Clock) {}
 
   /** Takes what ranks have counted since they were asked last. */
-  takeCounts(replies: readonly RankReply[]): void {
-    const counts = countsOf(replies);
+  addCounts(replies: readonly RankReply[]): void {
+    const counts = sumCounts(replies);
     if (!counts) return;
     this.estimate ??= new DemandEstimate(counts.length, counts[0]?.length ?? 0);
     this.estimate.add(counts, this.clock.nowMs());
@@ -55,23 +55,23 @@
   ): MapPlan | undefined {
     const demand = this.estimate?.read();
     const tokens = demand?.[0]?.reduce((sum, count) => sum + count, 0) ?? 0;
-    if (!engine || !demand || tokens < LEAST_TOKENS || !this.isDue()) return undefined;
+    if (!engine || !demand || tokens < MIN_TOKENS || !this.isDue()) return undefined;
     const startedAtMs = this.clock.nowMs();
     const plan = planRound(current, demand, {
       slotsPerRank: engine.slotsPerRank,
-      mostNew: newPerRound(engine),
+      mostNew: maxNewPerRound(engine),
       mostNewInLayer: engine.mostNew,
-      gainPerCopy: gainPerCopy(engine, runningOf(replies)),
+      gainPerCopy: minGainPerCopy(engine, totalLoad(replies)),
       pace: replies.map((reply) => reply.pace ?? 1),
     });
     const atMs = this.clock.nowMs();
-    this.planned = { atMs, tookMs: atMs - startedAtMs };
-    return { ...plan, tokens, tookMs: this.planned.tookMs };
+    this.lastPlan = { atMs, tookMs: atMs - startedAtMs };
+    return { ...plan, tokens, tookMs: this.lastPlan.tookMs };
   }
 
   /** Nobody is answered while a plan is made, so that most of the time has to be left for that. */
   private isDue(): boolean {
-    const { atMs, tookMs } = this.planned;
-    return this.clock.nowMs() - atMs >= PLAN_REST * tookMs;
+    const { atMs, tookMs } = this.lastPlan;
+    return this.clock.nowMs() - atMs >= PLAN_IDLE_FACTOR * tookMs;
   }
 }
--- a/src/group/own-group.ts
+++ b/src/group/own-group.ts
@@ -13,7 +13,7 @@
 } from '../core/published/index.js';
 import type { ListenAddress } from '../gateway/types.js';
 import type { GroupDigest } from '../generated/messages.types.js';
-import { mayBelong } from './group-view.js';
+import { mayBeSameGroup } from './group-view.js';
 
 /** The group of the engine beside this agent. */
 export class OwnGroup {
@@ -22,7 +22,7 @@
   private ownRank: number | undefined;
   private ranks: number | undefined;
   /** Hosts of the members when the group was last seen whole. */
-  private lastHosts: readonly string[] = [];
+  private lastCompleteHosts: readonly string[] = [];
   private service: ServiceId | undefined;
   /** Groups of the service's engines, as far as they were told. */
   private readonly groupOf = new Map<EndpointId, string>();
@@ -47,14 +47,14 @@
   }
 
   /** What the group's engines are; undefined while this one is not listed. */
-  engine(): EngineInfo | undefined {
+  engineInfo(): EngineInfo | undefined {
     const service = this.ownService();
     return service && this.state.config?.services.get(service)?.engine;
   }
 
   /** Whether this engine is listed and nothing tells what engines of its service are. */
-  lacksEngine(): boolean {
-    return this.own() !== undefined && this.engine() === undefined;
+  lacksEngineInfo(): boolean {
+    return this.ownEndpointRecord() !== undefined && this.engineInfo() === undefined;
   }
 
   /**
@@ -63,40 +63,40 @@
    * when it was last seen whole: an engine whose machine stood still for 4 s is listed again seconds later.
    */
   agents(): string[] {
-    const listed = this.listed();
+    const listed = this.listedEndpoints();
     const members = this.membersOf(listed);
-    const isComplete = this.isAll(members);
-    const asked = isComplete ? members : listed.filter((e) => this.mayBelong(e));
-    const hosts = new Set(asked.map((endpoint) => hostOf(endpoint.address)));
-    if (!isComplete) for (const host of this.lastHosts) hosts.add(host);
+    const isComplete = this.hasAllMembers(members);
+    const polled = isComplete ? members : listed.filter((e) => this.mayBeMember(e));
+    const hosts = new Set(polled.map((endpoint) => hostOf(endpoint.address)));
+    if (!isComplete) for (const host of this.lastCompleteHosts) hosts.add(host);
     return [...hosts].map((host) => `${host}:${this.agentPort}`).sort();
   }
 
   /** Whether all members are known and listed. */
   isComplete(): boolean {
-    return this.isAll(this.membersOf(this.listed()));
+    return this.hasAllMembers(this.membersOf(this.listedEndpoints()));
   }
 
   /** Notes what the own engine tells. */
-  noteOwn(reply: RankReply): void {
+  recordOwnReply(reply: RankReply): void {
     this.name = reply.group ?? this.name;
     this.ownRank = reply.rank ?? this.ownRank;
     this.ranks = reply.ranks ?? this.ranks;
   }
 
   /** Notes to which group the engine beside an agent belongs. */
-  noteReply(address: string, reply: RankReply): void {
+  recordReply(address: string, reply: RankReply): void {
     const { group } = reply;
-    const endpoint = this.listed().find((e) => this.agentOf(e) === address);
+    const endpoint = this.listedEndpoints().find((e) => this.agentOf(e) === address);
     if (endpoint && group !== undefined) this.groupOf.set(endpoint.id, group);
   }
 
   /** Notes the members that the group's coordinator saw. */
-  noteDigest(digest: GroupDigest): void {
+  recordDigest(digest: GroupDigest): void {
     if (!digest.whole) return;
-    this.lastHosts = digest.hosts;
+    this.lastCompleteHosts = digest.hosts;
     const hosts = new Set(digest.hosts);
-    const listed = this.listed();
+    const listed = this.listedEndpoints();
     for (const endpoint of listed)
       if (hosts.has(hostOf(endpoint.address))) this.groupOf.set(endpoint.id, digest.group);
     const ids = new Set(listed.map((endpoint) => endpoint.id));
@@ -107,22 +107,22 @@
     return listed.filter((e) => this.groupOf.get(e.id) === this.name);
   }
 
-  private isAll(members: readonly PublishedEndpoint[]): boolean {
+  private hasAllMembers(members: readonly PublishedEndpoint[]): boolean {
     return this.name !== undefined && members.length === this.ranks;
   }
 
-  private mayBelong(endpoint: PublishedEndpoint): boolean {
-    return mayBelong(this.name, this.groupOf.get(endpoint.id));
+  private mayBeMember(endpoint: PublishedEndpoint): boolean {
+    return mayBeSameGroup(this.name, this.groupOf.get(endpoint.id));
   }
 
-  private listed(): PublishedEndpoint[] {
+  private listedEndpoints(): PublishedEndpoint[] {
     const service = this.ownService();
     return [...this.state.list.values()].filter((endpoint) => endpoint.service === service);
   }
 
   /** The service of the own engine; it stays while the engine is not listed for a moment. */
   private ownService(): ServiceId | undefined {
-    this.service = this.own()?.service ?? this.service;
+    this.service = this.ownEndpointRecord()?.service ?? this.service;
     return this.service;
   }
 
@@ -131,8 +131,11 @@
   }
 
   /** The record of the own engine; others may have written its address as well, under a service of no engines. */
-  private own(): PublishedEndpoint | undefined {
-    const here = [...this.state.list.values()].filter((e) => e.address === this.ownAddress);
-    return here.find((e) => this.state.config?.services.get(e.service)?.engine) ?? here[0];
+  private ownEndpointRecord(): PublishedEndpoint | undefined {
+    const atOwnAddress = [...this.state.list.values()].filter((e) => e.address === this.ownAddress);
+    return (
+      atOwnAddress.find((e) => this.state.config?.services.get(e.service)?.engine) ??
+      atOwnAddress[0]
+    );
   }
 }
--- a/src/group/round-times.ts
+++ b/src/group/round-times.ts
@@ -4,14 +4,14 @@
 
 /** Times of one round, ms. */
 export class RoundTimes {
-  private readonly byKind = new Map<RankOrder['kind'], number>();
+  private readonly totalMsByKind = new Map<RankOrder['kind'], number>();
 
   constructor(private readonly clock: Clock) {}
 
   /** Passes calls through and adds the time they took to that of their kind. */
   timed<T>(kind: RankOrder['kind'], calls: Promise<T>): Promise<T> {
     return timed(this.clock, calls, (tookMs) => {
-      this.byKind.set(kind, (this.byKind.get(kind) ?? 0) + tookMs);
+      this.totalMsByKind.set(kind, (this.totalMsByKind.get(kind) ?? 0) + tookMs);
     });
   }
 
@@ -20,6 +20,6 @@
    * @example times.text // 'promise:40,prepare:260,arm:70,confirm:35'
    */
   get text(): string {
-    return [...this.byKind].map(([kind, ms]) => `${kind}:${Math.round(ms)}`).join(',');
+    return [...this.totalMsByKind].map(([kind, ms]) => `${kind}:${Math.round(ms)}`).join(',');
   }
 }
--- a/src/group/switch-engine.ts
+++ b/src/group/switch-engine.ts
@@ -17,16 +17,16 @@
 import type { CommandAnswer, EngineCalls, EngineCommand, EngineReport } from './engine-calls.js';
 
 /** Time for an order and its proof, ms; a copy of one expert takes 0.1 s, three in each layer 0.5 s. */
-const PREPARE_MS = 4000;
+const PREPARE_TIMEOUT_MS = 4000;
 /** Time for any other order and its proof, ms: the group may stand still meanwhile. */
-const ORDER_MS = 1500;
+const ORDER_TIMEOUT_MS = 1500;
 /** Pause between two looks at a report, ms. */
-const LOOK_MS = 12;
+const REPORT_POLL_INTERVAL_MS = 12;
 /**
  * The same while experts are copied, ms, which takes 0.25 to 0.65 s with 129 ranks: looked at each 12 ms, that was 20 to 50
  * reports a round at each agent, most of what a round cost them all.
  */
-const COPY_LOOK_MS = 40;
+const COPY_POLL_INTERVAL_MS = 40;
 
 /**
  * A version that no round makes, since epochs begin at `EPOCH_STRIDE`. The round's own version would not
@@ -35,13 +35,13 @@
 const UNUSED_VERSION = 1;
 
 /** What the steps of a switch need. */
-export interface SwitchEngineParts {
+export interface SwitchEngineDeps {
   readonly calls: EngineCalls;
   readonly clock: Clock;
   /** Layers of the engine's model; 0 while they are not known. */
   readonly layers: () => number;
   /** Whether the engine stands beside this process; what it tells costs nothing only then. */
-  readonly isOwn: boolean;
+  readonly isLocal: boolean;
   /** Waits between two looks, ms; a test may bring its own time. */
   readonly pause: (ms: number) => Promise<void>;
 }
@@ -51,7 +51,7 @@
 const decisionFence = (epoch: number): number => 2 * epoch + 1;
 
 /** What is open at the rank: held, armed, or both; told by version, which is the epoch that made it. */
-function openOf(report: EngineReport): EngineState['armed'] {
+function openSwitchOf(report: EngineReport): EngineState['armed'] {
   const { armed, heldStep } = report;
   const step = heldStep ?? armed?.step;
   if (step === undefined) return undefined;
@@ -68,30 +68,32 @@
  * The engine of one rank, as the gate of the switch uses it.
  * @example new RankGate(incarnation, createSwitchEngine(parts), () => 0)
  */
-export function createSwitchEngine(parts: SwitchEngineParts): RankEngine {
-  const { calls, clock } = parts;
+export function createSwitchEngine(deps: SwitchEngineDeps): RankEngine {
+  const { calls, clock } = deps;
   let groupEpoch = 0;
   /** Start of the engine's process that was fenced last, Unix ms. */
-  let fencedLife = 0;
+  let fencedStartedAtMs = 0;
   /** Whether an epoch has been fenced, in this life of the engine, that no earlier life of this agent took. */
-  let hasClaimed = false;
+  let hasClaimedEpoch = false;
 
   /** Gives an order until its proof shows in the report; `refused` when it cannot be had in time. */
-  async function prove(
+  async function executeUntilApplied(
     command: EngineCommand,
     fence: number,
-    withinMs: number,
-    isProved: (report: EngineReport, answer: CommandAnswer | undefined) => boolean,
+    timeoutMs: number,
+    isApplied: (report: EngineReport, answer: CommandAnswer | undefined) => boolean,
   ): Promise<OrderEnd> {
-    const untilMs = clock.nowMs() + withinMs;
+    const deadlineMs = clock.nowMs() + timeoutMs;
     let answer: CommandAnswer | undefined;
-    while (clock.nowMs() < untilMs) {
+    while (clock.nowMs() < deadlineMs) {
       if (answer !== 'taken') answer = await calls.command(command, fence, groupEpoch);
       const report = await calls.report();
       if (!report.isOpen || report.groupEpoch !== groupEpoch) return 'refused';
-      if (isProved(report, answer)) return 'done';
+      if (isApplied(report, answer)) return 'done';
       if (answer === 'refused' || answer === 'fenced') return answer;
-      await parts.pause(command.kind === 'prepare' ? COPY_LOOK_MS : LOOK_MS);
+      await deps.pause(
+        command.kind === 'prepare' ? COPY_POLL_INTERVAL_MS : REPORT_POLL_INTERVAL_MS,
+      );
     }
     return 'refused';
   }
@@ -99,7 +101,7 @@
   /** Raises the engine's fence: disarming a version that no round makes is taken and changes nothing. */
   function raiseFence(to: number): Promise<OrderEnd> {
     const command: EngineCommand = { kind: 'disarm', version: UNUSED_VERSION };
-    return prove(command, to, ORDER_MS, (_, answer) => answer === 'taken');
+    return executeUntilApplied(command, to, ORDER_TIMEOUT_MS, (_, answer) => answer === 'taken');
   }
 
   /**
@@ -111,56 +113,66 @@
     if (!report.isOpen) return 'refused';
     groupEpoch = report.groupEpoch;
     // An engine that started again has forgotten its fences, and with them what was claimed.
-    if (report.startedAtMs !== fencedLife) hasClaimed = false;
-    fencedLife = report.startedAtMs;
-    if (!hasClaimed) {
+    if (report.startedAtMs !== fencedStartedAtMs) hasClaimedEpoch = false;
+    fencedStartedAtMs = report.startedAtMs;
+    if (!hasClaimedEpoch) {
       const claimed = await raiseFence(roundFence(epoch) - 1);
       if (claimed !== 'done') return claimed;
     }
     const raised = await raiseFence(roundFence(epoch));
-    hasClaimed ||= raised === 'done';
+    hasClaimedEpoch ||= raised === 'done';
     return raised;
   }
 
   async function arm(epoch: number, version: number, step: number): Promise<OrderEnd> {
     const fence = roundFence(epoch);
-    const held = await prove({ kind: 'hold', step }, fence, ORDER_MS, (r) => r.heldStep === step);
+    const held = await executeUntilApplied(
+      { kind: 'hold', step },
+      fence,
+      ORDER_TIMEOUT_MS,
+      (r) => r.heldStep === step,
+    );
     if (held !== 'done') return held;
-    return prove(
+    return executeUntilApplied(
       { kind: 'arm', version, step },
       fence,
-      ORDER_MS,
+      ORDER_TIMEOUT_MS,
       (r) => r.armed?.version === version && r.armed.step === step,
     );
   }
 
   /** Lets the group go on at this rank. */
-  async function go(epoch: number, step: number): Promise<OrderEnd> {
+  async function releaseHold(epoch: number, step: number): Promise<OrderEnd> {
     const command: EngineCommand = { kind: 'go', step };
-    return prove(command, decisionFence(epoch), ORDER_MS, (r) => r.heldStep !== step);
+    return executeUntilApplied(
+      command,
+      decisionFence(epoch),
+      ORDER_TIMEOUT_MS,
+      (r) => r.heldStep !== step,
+    );
   }
 
   async function confirm(epoch: number, target: number): Promise<OrderEnd> {
     const report = await calls.report();
     if (report.groupEpoch !== groupEpoch) return 'refused';
     if (report.armed?.version !== target) return report.mapVersion >= target ? 'done' : 'refused';
-    return report.heldStep === undefined ? 'done' : go(epoch, report.heldStep);
+    return report.heldStep === undefined ? 'done' : releaseHold(epoch, report.heldStep);
   }
 
   async function abort(epoch: number, target: number): Promise<OrderEnd> {
-    const first = await calls.report();
-    if (first.groupEpoch !== groupEpoch) return 'refused';
-    const version = first.armed?.version ?? target;
+    const before = await calls.report();
+    if (before.groupEpoch !== groupEpoch) return 'refused';
+    const version = before.armed?.version ?? target;
     // Once this is taken, an arm of this round that is still on its way meets a higher fence.
-    const disarmed = await prove(
+    const disarmed = await executeUntilApplied(
       { kind: 'disarm', version },
       decisionFence(epoch),
-      ORDER_MS,
+      ORDER_TIMEOUT_MS,
       (r, answer) => answer === 'taken' && r.armed === undefined,
     );
     if (disarmed !== 'done') return disarmed;
     const report = await calls.report();
-    return report.heldStep === undefined ? 'done' : go(epoch, report.heldStep);
+    return report.heldStep === undefined ? 'done' : releaseHold(epoch, report.heldStep);
   }
 
   async function order(order: EngineOrder): Promise<OrderEnd> {
@@ -169,10 +181,10 @@
         return fence(order.epoch);
       case 'load': {
         const version = Number(order.map.id);
-        return prove(
+        return executeUntilApplied(
           { kind: 'prepare', version, layers: order.map.layers },
           roundFence(order.epoch),
-          PREPARE_MS,
+          PREPARE_TIMEOUT_MS,
           (r) => r.preparedVersion === version,
         );
       }
@@ -188,13 +200,13 @@
   async function read(wants: ReadWants): Promise<EngineState> {
     const report = await calls.report();
     if (!report.isOpen) throw new Error('the group is broken: a rank is missing');
-    const open = openOf(report);
+    const openSwitch = openSwitchOf(report);
     const mapId = String(report.mapVersion);
     const state: EngineState = {
       step: report.step,
       map: { id: mapId, layers: [] },
-      armed: open,
-      lastConfirmed: Math.max(report.mapVersion, open?.confirmed ? open.epoch : 0),
+      armed: openSwitch,
+      lastConfirmed: Math.max(report.mapVersion, openSwitch?.confirmed ? openSwitch.epoch : 0),
       preparedEpoch: report.preparedVersion ?? 0,
       group: report.group,
       rank: report.rank,
@@ -205,10 +217,10 @@
       groupEpoch: report.groupEpoch,
       engineStartedAtMs: report.startedAtMs,
     };
-    if (!parts.isOwn) return state;
+    if (!deps.isLocal) return state;
     const wantsPlaced = wants.placed && !wants.knownMapIds.includes(mapId);
     const placed = wantsPlaced ? await calls.placed() : undefined;
-    const layers = parts.layers();
+    const layers = deps.layers();
     const picked = wants.counts && layers > 0 ? await calls.picked(layers) : undefined;
     return { ...state, ...(placed && { placed }), ...(picked && { picked }) };
   }
--- a/src/group/switch-margin.ts
+++ b/src/group/switch-margin.ts
@@ -4,7 +4,12 @@
  */
 import { timed, type Clock } from '../core/clock/index.js';
 import type { RankOrder } from '../core/groups/index.js';
-import { FIRST_MARGIN_STEPS, MARGIN_FACTOR, MARGIN_HALF_LIFE_MS, MARGIN_STEPS } from './consts.js';
+import {
+  DEFAULT_MARGIN_STEPS,
+  MARGIN_FACTOR,
+  MARGIN_HALF_LIFE_MS,
+  MARGIN_STEPS,
+} from './consts.js';
 
 /** Learns from the orders of each round how long arming and deciding take. */
 export class SwitchMargin {
@@ -16,7 +21,7 @@
   /** Passes calls through and notes how long they took, also when they failed. */
   timed<T>(kind: RankOrder['kind'], calls: Promise<T>): Promise<T> {
     return timed(this.clock, calls, (ms) => {
-      if (ms >= this.lately(kind)) this.slowest.set(kind, { ms, atMs: this.clock.nowMs() });
+      if (ms >= this.decayedMs(kind)) this.slowest.set(kind, { ms, atMs: this.clock.nowMs() });
     });
   }
 
@@ -25,16 +30,16 @@
    * @example margin.steps(60) // 2
    */
   steps(stepMs: number): number {
-    if (stepMs <= 0 || !this.slowest.has('arm')) return FIRST_MARGIN_STEPS;
-    const neededMs = (this.lately('arm') + this.lately('confirm')) * MARGIN_FACTOR;
+    if (stepMs <= 0 || !this.slowest.has('arm')) return DEFAULT_MARGIN_STEPS;
+    const neededMs = (this.decayedMs('arm') + this.decayedMs('confirm')) * MARGIN_FACTOR;
     // The step that runs now may end at once.
     const steps = 1 + Math.ceil(neededMs / stepMs);
-    return Math.min(MARGIN_STEPS.most, Math.max(MARGIN_STEPS.least, steps));
+    return Math.min(MARGIN_STEPS.max, Math.max(MARGIN_STEPS.min, steps));
   }
 
-  private lately(kind: RankOrder['kind']): number {
-    const known = this.slowest.get(kind);
-    if (!known) return 0;
-    return known.ms * 0.5 ** ((this.clock.nowMs() - known.atMs) / MARGIN_HALF_LIFE_MS);
+  private decayedMs(kind: RankOrder['kind']): number {
+    const slow = this.slowest.get(kind);
+    if (!slow) return 0;
+    return slow.ms * 0.5 ** ((this.clock.nowMs() - slow.atMs) / MARGIN_HALF_LIFE_MS);
   }
 }
--- a/src/group/switch-rounds.ts
+++ b/src/group/switch-rounds.ts
@@ -11,25 +11,25 @@
   type SwitchEnd,
 } from '../core/groups/index.js';
 import type { Metrics } from '../core/metrics/index.js';
-import { answerTimes, PREPARE_ORDER_MS } from './consts.js';
+import { replyTimeouts, PREPARE_TIMEOUT_MS } from './consts.js';
 import type { Replies } from './fan-out.js';
-import type { CallAgents } from './group-looks.js';
+import type { CallAgents } from './group-poller.js';
 import type { GroupReplies } from './group-view.js';
 import { RoundTimes } from './round-times.js';
 import { SwitchMargin } from './switch-margin.js';
 
 /** What rounds need. */
-export interface RoundParts {
+export interface SwitchRoundsDeps {
   readonly self: string;
   readonly callAll: CallAgents;
   /** Acts for the agent at an address, straight on its engine; used only while that agent is silent. */
-  readonly standIn: (address: string, order: RankOrder) => Promise<RankReply>;
+  readonly callEngineDirectly: (address: string, order: RankOrder) => Promise<RankReply>;
   readonly clock: Clock;
   readonly metrics: Metrics;
 }
 
 /** What a round may know besides its ranks. */
-export interface RoundExtras {
+export interface SwitchRoundOptions {
   /** Agents that do not answer, by address. */
   readonly silent?: ReadonlySet<string>;
   /** The map in use, as ranks may hold it. */
@@ -38,11 +38,11 @@
   readonly times?: RoundTimes;
 }
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_AGENTS: ReadonlySet<string> = new Set();
 
-function withinMs({ kind }: RankOrder, ranks: number): number {
-  if (kind === 'prepare') return PREPARE_ORDER_MS;
-  const times = answerTimes(ranks);
+function orderTimeoutMs({ kind }: RankOrder, ranks: number): number {
+  if (kind === 'prepare') return PREPARE_TIMEOUT_MS;
+  const times = replyTimeouts(ranks);
   return kind === 'confirm' || kind === 'abort' ? times.decisionMs : times.orderMs;
 }
 
@@ -53,14 +53,14 @@
 
   /** @param stepMs time of a step lately, ms; 0 while it is not known */
   constructor(
-    private readonly parts: RoundParts,
+    private readonly deps: SwitchRoundsDeps,
     private readonly stepMs: () => number,
   ) {
-    this.margin = new SwitchMargin(parts.clock);
+    this.margin = new SwitchMargin(deps.clock);
   }
 
   /** Fences and versions rise over everything that any rank has seen or holds. */
-  noteEpochs(replies: GroupReplies): void {
+  recordEpochs(replies: GroupReplies): void {
     for (const { promised, lastConfirmed = 0, armed } of replies)
       this.highestEpoch = Math.max(this.highestEpoch, promised, lastConfirmed, armed?.epoch ?? 0);
   }
@@ -70,19 +70,23 @@
    * @example const end = await rounds.run(byRank, () => undefined); // finishes what is open
    */
   async run(
-    byRank: readonly string[],
+    addressByRank: readonly string[],
     chooseMap: ChooseMap,
-    { silent = NOBODY, base, times = new RoundTimes(this.parts.clock) }: RoundExtras = {},
+    {
+      silent: unresponsive = NO_AGENTS,
+      base,
+      times = new RoundTimes(this.deps.clock),
+    }: SwitchRoundOptions = {},
   ): Promise<SwitchEnd> {
-    const own = byRank.indexOf(this.parts.self);
-    const epoch = nextEpoch(this.highestEpoch, Math.max(0, own));
+    const ownRank = addressByRank.indexOf(this.deps.self);
+    const epoch = nextEpoch(this.highestEpoch, Math.max(0, ownRank));
     const callRanks = (order: RankOrder, ranks: readonly CalledRank[]): Promise<Replies> => {
-      const calls = this.callRanks(order, ranks, byRank, silent);
+      const calls = this.callRanks(order, ranks, addressByRank, unresponsive);
       return times.timed(order.kind, this.margin.timed(order.kind, calls));
     };
     const coordination = {
       group: '',
-      ranks: byRank.length,
+      ranks: addressByRank.length,
       callRanks,
       base,
       known: undefined,
@@ -91,7 +95,7 @@
     };
     const end = await runSwitch(coordination, epoch, chooseMap);
     this.highestEpoch = Math.max(epoch, end.kind === 'blocked' ? end.highest : 0);
-    this.parts.metrics.count('switch_rounds_total', { end: end.kind });
+    this.deps.metrics.count('switch_rounds_total', { end: end.kind });
     return end;
   }
 
@@ -99,22 +103,26 @@
   private async callRanks(
     order: RankOrder,
     ranks: readonly CalledRank[],
-    byRank: readonly string[],
-    silent: ReadonlySet<string>,
+    addressByRank: readonly string[],
+    unresponsive: ReadonlySet<string>,
   ): Promise<Replies> {
     const members = ranks.map(({ rank, incarnation }) => ({
-      address: byRank[rank] ?? '',
+      address: addressByRank[rank] ?? '',
       ...(incarnation !== undefined && { incarnation }),
     }));
-    const heard = members.filter(({ address }) => !silent.has(address));
-    const unheard = members.filter(({ address }) => silent.has(address));
-    const standIns = unheard.map(({ address, ...own }) =>
-      this.parts.standIn(address, { ...order, ...own }).catch(() => undefined),
+    const responsive = members.filter(({ address }) => !unresponsive.has(address));
+    const bypassed = members.filter(({ address }) => unresponsive.has(address));
+    const directCalls = bypassed.map(({ address, ...own }) =>
+      this.deps.callEngineDirectly(address, { ...order, ...own }).catch(() => undefined),
+    );
+    const replies = await this.deps.callAll(
+      order,
+      responsive,
+      orderTimeoutMs(order, addressByRank.length),
     );
-    const replies = await this.parts.callAll(order, heard, withinMs(order, byRank.length));
-    const byAddress = new Map(heard.map(({ address }, i) => [address, replies[i]]));
-    const straight = await Promise.all(standIns);
-    unheard.forEach(({ address }, i) => byAddress.set(address, straight[i]));
+    const byAddress = new Map(responsive.map(({ address }, i) => [address, replies[i]]));
+    const directReplies = await Promise.all(directCalls);
+    bypassed.forEach(({ address }, i) => byAddress.set(address, directReplies[i]));
     return members.map(({ address }) => byAddress.get(address));
   }
 }
--- a/test/group/coordinator-play.ts
+++ b/test/group/coordinator-simulation.ts
@@ -9,8 +9,8 @@
 import { CoordinatorTask } from '../../src/group/coordinator-task.js';
 import type { EngineCalls } from '../../src/group/engine-calls.js';
 import { FanOut, serveBranch, type CallAgent } from '../../src/group/fan-out.js';
-import { Port } from './agent-port.js';
-import { Succession } from '../../src/group/succession.js';
+import { AgentLink } from './agent-link.js';
+import { CoordinatorElection } from '../../src/group/coordinator-election.js';
 import { createSwitchEngine } from '../../src/group/switch-engine.js';
 
 const ENGINE: EngineInfo = {
@@ -25,7 +25,7 @@
 };
 
 /** How a group is played. */
-export interface CoordinatorPlayOptions {
+export interface CoordinatorSimulationOptions {
   readonly seed: number;
   readonly ranks: number;
   /** Agents that may coordinate, from rank 0 on. */
@@ -36,7 +36,7 @@
   /** Share of orders that engines leave unanswered and carry out late. */
   readonly lateShare: number;
   /** Time until an order that is left unanswered counts as such, ms. */
-  readonly noAnswerMs?: number;
+  readonly replyTimeoutMs?: number;
   /** Steps after which demand shifts; never where left out. */
   readonly shiftSteps?: number;
   /** Time that the agent of a rank takes for an order, ms. */
@@ -48,11 +48,11 @@
   /** Bytes that a whole map takes on a link, as that of a larger model would; its own where left out. */
   readonly mapBytes?: number;
   /** Whether an agent coordinates only once nobody has looked at it for long; else each does from the start. */
-  readonly inTurn: boolean;
+  readonly usesElection: boolean;
 }
 
 /** A group under way. */
-export interface CoordinatorPlay {
+export interface CoordinatorSimulation {
   readonly time: VirtualTime;
   readonly group: RankGroup;
   readonly metrics: Metrics;
@@ -64,7 +64,7 @@
 }
 
 /** Starts coordinators on the first agents of a group whose demand favours a few experts. */
-export function startCoordinators(options: CoordinatorPlayOptions): CoordinatorPlay {
+export function startCoordinators(options: CoordinatorSimulationOptions): CoordinatorSimulation {
   const addresses = Array.from(
     { length: options.ranks },
     (_, rank) => `10.0.0.${String(rank).padStart(3, '0')}:1`,
@@ -77,7 +77,7 @@
     copyMs: options.copyMs,
     lateShare: () => options.lateShare,
     checksFences: true,
-    noAnswerMs: options.noAnswerMs,
+    noAnswerMs: options.replyTimeoutMs,
     shiftSteps: options.shiftSteps,
   });
   const frozen = new Set<number>();
@@ -86,85 +86,89 @@
   /** The calls of a frozen agent to its engine stand still with it. */
   const frozenCalls = (rank: number): EngineCalls => {
     const calls = group.calls(rank);
-    const awake = async (): Promise<void> => {
+    const waitWhileFrozen = async (): Promise<void> => {
       while (frozen.has(rank)) await time.sleep(10);
     };
     return {
       ...calls,
       report: async () => {
-        await awake();
+        await waitWhileFrozen();
         return calls.report();
       },
       command: async (...args) => {
-        await awake();
+        await waitWhileFrozen();
         return calls.command(...args);
       },
     };
   };
-  const makeGate = (rank: number, life: string, isOwn: boolean): RankGate =>
+  const makeGate = (rank: number, incarnation: string, isLocal: boolean): RankGate =>
     new RankGate(
-      asId(life),
+      asId(incarnation),
       createSwitchEngine({
-        calls: isOwn ? frozenCalls(rank) : group.calls(rank),
+        calls: isLocal ? frozenCalls(rank) : group.calls(rank),
         clock: time,
         layers: () => 1,
         pause: time.sleep,
-        isOwn,
+        isLocal,
       }),
       () => rank,
     );
   const gates = addresses.map((_, rank) => makeGate(rank, `own-${rank}`, true));
   /** Calls between agents; neither a frozen caller nor a frozen callee gets anywhere. */
-  const ports = addresses.map(() => new Port(time, options));
+  const links = addresses.map(() => new AgentLink(time, options));
   /** A message from one agent to another and its answer; an agent that is frozen gets nowhere and answers nothing. */
   const exchange = async <T>(
     from: number,
     to: number,
     message: unknown,
-    withinMs: number,
+    timeoutMs: number,
     serve: () => Promise<T>,
   ): Promise<T> => {
-    const late = time.sleep(withinMs).then(() => Promise.reject(new Error('no answer in time')));
-    late.catch(() => undefined);
-    const answered = async (): Promise<T> => {
+    const timeout = time
+      .sleep(timeoutMs)
+      .then(() => Promise.reject(new Error('no answer in time')));
+    timeout.catch(() => undefined);
+    const exchanged = async (): Promise<T> => {
       await time.sleep(2);
       while (frozen.has(from)) await time.sleep(10);
-      if (from !== to) await ports[from]?.send(message);
-      if (frozen.has(to)) return late as Promise<never>;
+      if (from !== to) await links[from]?.send(message);
+      if (frozen.has(to)) return timeout as Promise<never>;
       const answer = await serve();
-      if (from !== to) await ports[to]?.answer(answer, ports[from] as Port);
+      if (from !== to) await links[to]?.answer(answer, links[from] as AgentLink);
       return answer;
     };
-    return Promise.race([answered(), late as Promise<never>]);
+    return Promise.race([exchanged(), timeout as Promise<never>]);
   };
   const serveRank = async (rank: number, order: RankOrder): Promise<RankReply> => {
-    if (order.kind === 'look' && order.from !== undefined) successions[rank]?.noteLook(order.from);
+    if (order.kind === 'look' && order.from !== undefined) elections[rank]?.recordPoll(order.from);
     await time.sleep(order.kind === 'look' ? 0 : (options.orderMs?.(rank, time.nowMs()) ?? 0));
     const reply = await (gates[rank] as RankGate).serve(order);
-    return { ...reply, heard: successions[rank]?.heardBesides(order.from) };
+    return { ...reply, heard: elections[rank]?.recentPollerExcept(order.from) };
   };
   const callFrom =
-    (own: number): CallAgent =>
-    (address, order, withinMs) => {
+    (caller: number): CallAgent =>
+    (address, order, timeoutMs) => {
       const rank = addresses.indexOf(address);
       if (order.kind !== 'look') orders.push(order);
-      return exchange(own, rank, order, withinMs, () => serveRank(rank, order));
+      return exchange(caller, rank, order, timeoutMs, () => serveRank(rank, order));
     };
   const fanOuts = addresses.map(
-    (self, own) =>
+    (self, caller) =>
       new FanOut({
         self,
         clock: time,
-        call: callFrom(own),
-        callBranch: (head, branch, withinMs) => {
-          const rank = addresses.indexOf(head);
-          return exchange(own, rank, branch, withinMs, () => serveBranch(callFrom(rank), branch));
+        call: callFrom(caller),
+        callBranch: (forwarder, branch, timeoutMs) => {
+          const rank = addresses.indexOf(forwarder);
+          return exchange(caller, rank, branch, timeoutMs, () =>
+            serveBranch(callFrom(rank), branch),
+          );
         },
       }),
   );
-  const successions = addresses.map(
+  const elections = addresses.map(
     (self, rank) =>
-      new Succession({
+      new CoordinatorElection({
         self,
         rank: () => rank,
         size: () => options.ranks,
@@ -173,32 +177,37 @@
         metrics,
       }),
   );
-  const coordinates = (rank: number): boolean =>
+  const mayCoordinate = (rank: number): boolean =>
     rank < options.coordinators &&
     !frozen.has(rank) &&
-    (!options.inTurn || (successions[rank] as Succession).isDue());
-  for (let own = 0; own < options.coordinators; own += 1) {
-    const standIns = addresses.map((_, rank) => makeGate(rank, `stand-in-${own}-${rank}`, false));
+    (!options.usesElection || (elections[rank] as CoordinatorElection).isCandidate());
+  for (let coordinator = 0; coordinator < options.coordinators; coordinator += 1) {
+    const directGates = addresses.map((_, rank) =>
+      makeGate(rank, `stand-in-${coordinator}-${rank}`, false),
+    );
     const task = new CoordinatorTask({
-      self: addresses[own] as string,
+      self: addresses[coordinator] as string,
       group: () => 'g',
       agents: () => addresses,
-      noteReply: (_, reply) => successions[own]?.noteReply(reply),
+      onReply: (_, reply) => elections[coordinator]?.recordReply(reply),
       engine: () => ENGINE,
-      callAll: (...calls) => (fanOuts[own] as FanOut).callAll(...calls),
-      standIn: (address, order) => (standIns[addresses.indexOf(address)] as RankGate).serve(order),
+      callAll: (...args) => (fanOuts[coordinator] as FanOut).callAll(...args),
+      callEngineDirectly: (address, order) =>
+        (directGates[addresses.indexOf(address)] as RankGate).serve(order),
       clock: time,
       pause: time.sleep,
       random,
       log: silentLog,
       metrics,
     });
-    const line = {
-      isDue: () => coordinates(own),
-      takesOver: () =>
-        coordinates(own) && (!options.inTurn || (successions[own] as Succession).takesOver()),
+    const role = {
+      isCandidate: () => mayCoordinate(coordinator),
+      shouldCoordinate: () =>
+        mayCoordinate(coordinator) &&
+        (!options.usesElection ||
+          (elections[coordinator] as CoordinatorElection).shouldCoordinate()),
     };
-    void task.run(line, new AbortController().signal);
+    void task.run(role, new AbortController().signal);
   }
   return {
     time,
@@ -206,6 +215,6 @@
     metrics,
     frozen,
     orders,
-    coordinating: () => addresses.map((_, rank) => rank).filter(coordinates),
+    coordinating: () => addresses.map((_, rank) => rank).filter(mayCoordinate),
   };
 }
--- a/test/group/group-looks.test.ts
+++ b/test/group/group-poller.test.ts
@@ -2,109 +2,109 @@
 import { test } from 'node:test';
 import type { RankOrder, RankReply } from '../../src/core/groups/index.js';
 import {
-  answerTimes,
-  COUNTING_RANKS,
-  DIGEST_PAUSE_MS,
-  MOST_DIRECT,
-  unlookedMs,
+  replyTimeouts,
+  COUNT_SAMPLE_SIZE,
+  DIGEST_INTERVAL_MS,
+  MAX_DIRECT_CALLS,
+  takeoverTimeoutMs,
 } from '../../src/group/consts.js';
-import { GroupLooks, sampleOf, type Sighting } from '../../src/group/group-looks.js';
+import { GroupPoller, sampleEvenly, type PollResult } from '../../src/group/group-poller.js';
 import { groupDigest, rankReply } from '../fixtures/engine.js';
 
 interface Group {
-  readonly looks: GroupLooks;
+  readonly poller: GroupPoller;
   /** Changes of single ranks' replies. */
   readonly changes: Map<number, Partial<RankReply>>;
   readonly silent: Set<number>;
-  asked: RankOrder[];
+  polled: RankOrder[];
   nowMs: number;
 }
 
 function startGroup(ranks: number): Group {
   const addresses = Array.from({ length: ranks }, (_, rank) => `10.0.0.${rank}:1`);
   const group: Group = {
-    looks: new GroupLooks({
+    poller: new GroupPoller({
       self: '10.0.0.0:1',
       group: () => undefined,
-      noteReply: () => undefined,
+      onReply: () => undefined,
       agents: () => addresses,
       clock: { nowMs: () => group.nowMs, wallMs: () => group.nowMs },
       callAll: (order, members) =>
         Promise.resolve(
           members.map(({ address, ...own }) => {
             const rank = addresses.indexOf(address);
-            group.asked.push({ ...order, ...own });
+            group.polled.push({ ...order, ...own });
             return group.silent.has(rank) ? undefined : rankReply(rank, group.changes.get(rank));
           }),
         ),
     }),
     changes: new Map(),
     silent: new Set(),
-    asked: [],
+    polled: [],
     nowMs: 0,
   };
   return group;
 }
 
-async function look(group: Group, isSwitching = false): Promise<Sighting> {
-  group.asked = [];
-  return group.looks.look(undefined, [], isSwitching);
+async function poll(group: Group, isSwitching = false): Promise<PollResult> {
+  group.polled = [];
+  return group.poller.poll(undefined, [], isSwitching);
 }
 
 test('a sample is spread over the whole list, and is all of a small one', () => {
   const addresses = Array.from({ length: 63 }, (_, i) => String(i));
-  const sample = sampleOf(addresses, 16).map(Number);
+  const sample = sampleEvenly(addresses, 16).map(Number);
   assert.equal(new Set(sample).size, 16);
   for (const third of [0, 21, 42])
     assert.ok(sample.filter((i) => i >= third && i < third + 21).length >= 5);
-  assert.deepEqual(sampleOf(['a', 'b'], 16), ['a', 'b']);
+  assert.deepEqual(sampleEvenly(['a', 'b'], 16), ['a', 'b']);
 });
 
 test('a small group is asked whole each time, with counts from each rank', async () => {
   const group = startGroup(12);
   for (let i = 0; i < 2; i += 1) {
-    const seen = await look(group);
+    const seen = await poll(group);
     assert.ok(seen.kind === 'seen' && seen.isWhole);
-    assert.equal(group.asked.filter((order) => order.wantsCounts).length, 12);
+    assert.equal(group.polled.filter((order) => order.wantsCounts).length, 12);
   }
 });
 
 test('a large group is asked whole each time, and some of its ranks for counts', async () => {
   const group = startGroup(129);
-  const first = await look(group);
+  const first = await poll(group);
   assert.ok(first.kind === 'seen' && first.isWhole);
-  assert.equal(group.asked.length, 129);
-  assert.equal(group.asked.filter((order) => order.wantsCounts).length, COUNTING_RANKS);
+  assert.equal(group.polled.length, 129);
+  assert.equal(group.polled.filter((order) => order.wantsCounts).length, COUNT_SAMPLE_SIZE);
   group.nowMs += 100;
   group.changes.set(1, { step: 12 });
-  const second = await look(group);
+  const second = await poll(group);
   assert.ok(second.kind === 'seen' && second.isWhole);
-  assert.deepEqual([group.asked.length, second.fresh.length], [129, 129]);
+  assert.deepEqual([group.polled.length, second.fresh.length], [129, 129]);
   assert.equal(second.replies[1]?.step, 12);
 });
 
 test('a large group hears of itself some times a second, all of its ranks', async () => {
   const group = startGroup(63);
   const digest = groupDigest();
-  const told = async (): Promise<number> => {
-    group.asked = [];
-    await group.looks.look(digest, [], false);
-    return group.asked.filter((order) => order.digest).length;
+  const digestsSent = async (): Promise<number> => {
+    group.polled = [];
+    await group.poller.poll(digest, [], false);
+    return group.polled.filter((order) => order.digest).length;
   };
-  assert.equal(await told(), 63);
+  assert.equal(await digestsSent(), 63);
   group.nowMs += 100;
-  assert.equal(await told(), 0);
-  group.nowMs += DIGEST_PAUSE_MS;
-  assert.equal(await told(), 63);
+  assert.equal(await digestsSent(), 0);
+  group.nowMs += DIGEST_INTERVAL_MS;
+  assert.equal(await digestsSent(), 63);
 });
 
 test('another map and another forming show at the next look', async () => {
   for (const change of [{ mapId: '7' }, { groupEpoch: 2 }]) {
     const group = startGroup(63);
-    await look(group);
+    await poll(group);
     group.nowMs += 100;
     for (let rank = 0; rank < 63; rank += 1) group.changes.set(rank, change);
-    const seen = await look(group);
+    const seen = await poll(group);
     assert.ok(seen.kind === 'seen' && seen.isWhole);
     assert.equal(seen.replies[62]?.mapId, change.mapId ?? '0');
   }
@@ -112,54 +112,54 @@
 
 test('a silent rank shows at once, whichever it is', async () => {
   const group = startGroup(63);
-  await look(group);
+  await poll(group);
   for (const rank of [0, 1, 62]) {
     group.nowMs += 100;
     group.silent.add(rank);
-    const seen = await look(group);
+    const seen = await poll(group);
     assert.ok(seen.kind === 'unseen');
     assert.equal(seen.replies[rank], undefined);
     group.silent.clear();
-    assert.equal((await look(group)).kind, 'seen');
+    assert.equal((await poll(group)).kind, 'seen');
   }
 });
 
 test('no agent begins to coordinate between two looks that come in time', () => {
-  assert.ok(unlookedMs(63) > 2 * answerTimes(63).lookMs + answerTimes(12).lookMs);
-  assert.equal(unlookedMs(12), 500);
+  assert.ok(takeoverTimeoutMs(63) > 2 * replyTimeouts(63).pollMs + replyTimeouts(12).pollMs);
+  assert.equal(takeoverTimeoutMs(12), 500);
 });
 
 test('while a large group switches, its ranks may be seen in two maps', async () => {
   const group = startGroup(63);
-  await look(group);
+  await poll(group);
   for (let rank = 0; rank < 30; rank += 1) group.changes.set(rank, { mapId: '7' });
-  const seen = await look(group, true);
+  const seen = await poll(group, true);
   assert.ok(seen.kind === 'seen' && seen.isWhole);
   assert.deepEqual([seen.replies[29]?.mapId, seen.replies[30]?.mapId], ['7', '0']);
   assert.equal(seen.fresh.length, 63, 'tokens are counted by expert, whatever the map');
 });
 
 test('answers of a large group have more time', () => {
-  assert.deepEqual(answerTimes(12), answerTimes(MOST_DIRECT));
-  assert.ok(answerTimes(63).decisionMs >= 2 * answerTimes(12).decisionMs);
+  assert.deepEqual(replyTimeouts(12), replyTimeouts(MAX_DIRECT_CALLS));
+  assert.ok(replyTimeouts(63).decisionMs >= 2 * replyTimeouts(12).decisionMs);
 });
 
 test('while a switch is under way whoever answers tells what it runs, in whatever map it is seen', async () => {
   const group = startGroup(63);
-  await look(group);
+  await poll(group);
   group.nowMs += 100;
   group.silent.add(0);
   for (let rank = 20; rank < 63; rank += 1) group.changes.set(rank, { mapId: '7', running: 5 });
-  const seen = await look(group, true);
+  const seen = await poll(group, true);
   assert.ok(seen.kind === 'seen' && !seen.isWhole);
-  assert.equal(seen.telling.length, 62);
-  assert.ok(seen.telling.some((reply) => reply.running === 5));
+  assert.equal(seen.loadReplies.length, 62);
+  assert.ok(seen.loadReplies.some((reply) => reply.running === 5));
   assert.equal(seen.fresh.length, 0);
   group.changes.set(3, { groupEpoch: 2 });
-  const reformed = await look(group, true);
+  const reformed = await poll(group, true);
   assert.ok(reformed.kind === 'seen');
-  assert.equal(reformed.telling.length, 61, 'a rank of another forming tells nothing');
+  assert.equal(reformed.loadReplies.length, 61, 'a rank of another forming tells nothing');
   group.silent.clear();
   group.changes.clear();
-  assert.equal((await look(group)).kind, 'seen');
+  assert.equal((await poll(group)).kind, 'seen');
 });
--- a/test/group/group-view.test.ts
+++ b/test/group/group-view.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { packCounts, type RankReply } from '../../src/core/groups/index.js';
-import { Digester } from '../../src/group/digest.js';
-import { countsOf, KnownMaps, orderReplies, placementOf } from '../../src/group/group-view.js';
+import { DigestBuilder } from '../../src/group/digest-builder.js';
+import { sumCounts, KnownMaps, sortByRank, placementOf } from '../../src/group/group-view.js';
 import { SwitchMargin } from '../../src/group/switch-margin.js';
 import { rankReply } from '../fixtures/engine.js';
 
@@ -11,29 +11,29 @@
 
 test('replies are whole only when each rank of one group told once', () => {
   assert.deepEqual(
-    orderReplies([reply(1), reply(0)], 2)?.map((r) => r.rank),
+    sortByRank([reply(1), reply(0)], 2)?.map((r) => r.rank),
     [0, 1],
   );
-  assert.equal(orderReplies([reply(0), undefined], 2), undefined);
-  assert.equal(orderReplies([reply(0), reply(0)], 2), undefined);
-  assert.equal(orderReplies([reply(0), reply(1, { groupEpoch: 2 })], 2), undefined);
-  assert.equal(orderReplies([], 0), undefined);
+  assert.equal(sortByRank([reply(0), undefined], 2), undefined);
+  assert.equal(sortByRank([reply(0), reply(0)], 2), undefined);
+  assert.equal(sortByRank([reply(0), reply(1, { groupEpoch: 2 })], 2), undefined);
+  assert.equal(sortByRank([], 0), undefined);
 });
 
 test('a group of which the list names only some ranks yet is not whole, and its map is not taken', () => {
   const some = [0, 1].map((rank) => reply(rank, { ranks: 3 }));
-  assert.equal(orderReplies(some, 2), undefined);
+  assert.equal(sortByRank(some, 2), undefined);
   const all = [0, 1, 2].map((rank) => reply(rank, { ranks: 3 }));
-  assert.equal(orderReplies(all, 3)?.length, 3);
+  assert.equal(sortByRank(all, 3)?.length, 3);
   // An engine that was replaced stands in the list beside its successor for a while.
-  assert.equal(orderReplies([...all, undefined], 4)?.length, 3);
+  assert.equal(sortByRank([...all, undefined], 4)?.length, 3);
 });
 
 test('a map that was put together from fewer ranks is told again', () => {
   const maps = new KnownMaps();
-  maps.note('0', [[[0], [1]]]);
-  const untold = [0, 1, 2].map((rank) => reply(rank, { placed: undefined }));
-  assert.equal(maps.inUse(untold), undefined);
+  maps.add('0', [[[0], [1]]]);
+  const withoutPlacement = [0, 1, 2].map((rank) => reply(rank, { placed: undefined }));
+  assert.equal(maps.inUse(withoutPlacement), undefined);
   assert.deepEqual(maps.ids, []);
   assert.deepEqual(maps.inUse([reply(0), reply(1), reply(2)]), [[[0], [1], [2]]]);
 });
@@ -48,39 +48,39 @@
 
 test('a map that is held already need not be told again, and old ones are dropped', () => {
   const maps = new KnownMaps();
-  const untold = [0, 1].map((rank) => reply(rank, { mapId: '7', placed: undefined }));
-  assert.equal(maps.inUse(untold), undefined);
-  maps.note('7', [[[5], [6]]]);
+  const withoutPlacement = [0, 1].map((rank) => reply(rank, { mapId: '7', placed: undefined }));
+  assert.equal(maps.inUse(withoutPlacement), undefined);
+  maps.add('7', [[[5], [6]]]);
   assert.deepEqual(maps.ids, ['7']);
-  assert.deepEqual(maps.inUse(untold), [[[5], [6]]]);
-  for (const id of ['8', '9', '10', '11']) maps.note(id, []);
-  assert.equal(maps.inUse(untold), undefined);
+  assert.deepEqual(maps.inUse(withoutPlacement), [[[5], [6]]]);
+  for (const id of ['8', '9', '10', '11']) maps.add(id, []);
+  assert.equal(maps.inUse(withoutPlacement), undefined);
 });
 
 test('counts of all ranks that tell some are added up', () => {
-  const told = [
+  const replies = [
     reply(0, { counted: packCounts([[255, 51]]) }),
     reply(1),
     undefined,
     reply(2, { counted: packCounts([[0, 510]]) }),
   ];
-  assert.deepEqual(countsOf(told), [[255, 561]]);
-  assert.equal(countsOf([reply(0), undefined]), undefined);
+  assert.deepEqual(sumCounts(replies), [[255, 561]]);
+  assert.equal(sumCounts([reply(0), undefined]), undefined);
 });
 
 test('a digest tells pace and load by host, and the time of a step', () => {
   let nowMs = 0;
-  const digester = new Digester({ nowMs: () => nowMs, wallMs: () => nowMs });
-  const look = (step: number) => {
+  const digestBuilder = new DigestBuilder({ nowMs: () => nowMs, wallMs: () => nowMs });
+  const poll = (step: number) => {
     const replies = [
       reply(0, { step, pace: 5.456, running: 2, queued: 1, askers: ['e-1', 'e-2'] }),
       reply(1, { step, askers: ['e-2', 'e-3'] }),
     ];
-    return digester.take(replies, replies, ['a', 'b']);
+    return digestBuilder.build(replies, replies, ['a', 'b']);
   };
-  assert.equal(look(10).stepMs, 0);
+  assert.equal(poll(10).stepMs, 0);
   nowMs = 200;
-  assert.deepEqual(look(14), {
+  assert.deepEqual(poll(14), {
     group: '',
     whole: true,
     hosts: ['a', 'b'],
@@ -91,28 +91,28 @@
     entries: 3,
     ageMs: 0,
   });
-  assert.equal(digester.take(undefined, [], []).whole, false);
+  assert.equal(digestBuilder.build(undefined, [], []).whole, false);
 });
 
 test('what a group runs rests on the ranks of this look, not on what others ran at the last one', () => {
-  const digester = new Digester({ nowMs: () => 0, wallMs: () => 0 });
-  const then = Array.from({ length: 6 }, (_, rank) => reply(rank, { running: 1 }));
+  const digestBuilder = new DigestBuilder({ nowMs: () => 0, wallMs: () => 0 });
+  const previous = Array.from({ length: 6 }, (_, rank) => reply(rank, { running: 1 }));
   const fresh = [reply(0, { running: 5 }), reply(3, { running: 6, queued: 1 })];
-  const replies = then.map((old, rank) => fresh.find((now) => now.rank === rank) ?? old);
-  assert.equal(digester.take(replies, fresh, []).running, 36);
-  assert.equal(digester.take(then, then, []).running, 6);
+  const replies = previous.map((old, rank) => fresh.find((now) => now.rank === rank) ?? old);
+  assert.equal(digestBuilder.build(replies, fresh, []).running, 36);
+  assert.equal(digestBuilder.build(previous, previous, []).running, 6);
 });
 
 test('the time in which a group had no work is no time of a step', () => {
   let nowMs = 0;
-  const digester = new Digester({ nowMs: () => nowMs, wallMs: () => nowMs });
-  const look = (step: number, running: number): number =>
-    digester.take([reply(0, { step, running })], [], ['a']).stepMs;
-  look(1, 0);
+  const digestBuilder = new DigestBuilder({ nowMs: () => nowMs, wallMs: () => nowMs });
+  const poll = (step: number, running: number): number =>
+    digestBuilder.build([reply(0, { step, running })], [], ['a']).stepMs;
+  poll(1, 0);
   nowMs = 9000;
-  assert.equal(look(2, 3), 0);
+  assert.equal(poll(2, 3), 0);
   nowMs = 9100;
-  assert.equal(look(4, 3), 50);
+  assert.equal(poll(4, 3), 50);
 });
 
 test('the margin follows the slowest orders lately, and forgets them', async () => {
--- a/test/group/large-group.test.ts
+++ b/test/group/large-group.test.ts
@@ -13,12 +13,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/core/clock/index.js';
-import { startCoordinators, type CoordinatorPlay } from './coordinator-play.js';
+import { startCoordinators, type CoordinatorSimulation } from './coordinator-simulation.js';
 
 /** Time in which agents are slow, ms. */
 const SLOW = { from: 4000, to: 14_000 };
 
-function start(orderMs: number): CoordinatorPlay {
+function start(orderMs: number): CoordinatorSimulation {
   return startCoordinators({
     seed: 1,
     ranks: 63,
@@ -28,41 +28,44 @@
     lateShare: 0,
     shiftSteps: 60,
     orderMs: (_, nowMs) => (nowMs >= SLOW.from && nowMs < SLOW.to ? orderMs : 0),
-    inTurn: true,
+    usesElection: true,
   });
 }
 
-const rounds = ({ metrics }: CoordinatorPlay, end: string): number =>
+const roundCount = ({ metrics }: CoordinatorSimulation, end: string): number =>
   metrics.value('switch_rounds_total', { end });
 
-const takeovers = ({ metrics }: CoordinatorPlay): number =>
+const takeoverCount = ({ metrics }: CoordinatorSimulation): number =>
   metrics.value('coordinator_changes_total', { to: 'self' });
 
 test('a round that lasts long makes no second coordinator, and maps come on', async () => {
-  const play = start(380);
-  await play.time.playUntil(SLOW.from);
-  const before = rounds(play, 'switched');
-  await play.time.playUntil(SLOW.to);
-  assert.equal(takeovers(play), 1, 'rank 0 began, nobody took over');
-  assert.equal(rounds(play, 'blocked'), 0);
+  const simulation = start(380);
+  await simulation.time.playUntil(SLOW.from);
+  const before = roundCount(simulation, 'switched');
+  await simulation.time.playUntil(SLOW.to);
+  assert.equal(takeoverCount(simulation), 1, 'rank 0 began, nobody took over');
+  assert.equal(roundCount(simulation, 'blocked'), 0);
   // Demand shifts each 3.6 s, and a round lasts 2 s.
-  assert.ok(rounds(play, 'switched') - before >= 3, `${rounds(play, 'switched') - before} maps`);
-  assert.deepEqual(play.group.mixed, []);
+  assert.ok(
+    roundCount(simulation, 'switched') - before >= 3,
+    `${roundCount(simulation, 'switched') - before} maps`,
+  );
+  assert.deepEqual(simulation.group.mixed, []);
 });
 
 test('when the coordinator of a large group freezes another one takes over, and maps come on', async () => {
-  const play = start(0);
-  await play.time.playUntil(6000);
-  assert.deepEqual(play.coordinating(), [0]);
-  play.frozen.add(0);
-  await play.time.playUntil(9000);
-  assert.deepEqual(play.coordinating(), [1]);
-  play.frozen.clear();
-  const before = rounds(play, 'switched');
-  await play.time.playUntil(16_000);
-  assert.deepEqual(play.coordinating(), [0], 'of two the lower address goes on');
-  assert.ok(rounds(play, 'switched') > before);
-  assert.deepEqual(play.group.mixed, []);
+  const simulation = start(0);
+  await simulation.time.playUntil(6000);
+  assert.deepEqual(simulation.coordinating(), [0]);
+  simulation.frozen.add(0);
+  await simulation.time.playUntil(9000);
+  assert.deepEqual(simulation.coordinating(), [1]);
+  simulation.frozen.clear();
+  const before = roundCount(simulation, 'switched');
+  await simulation.time.playUntil(16_000);
+  assert.deepEqual(simulation.coordinating(), [0], 'of two the lower address goes on');
+  assert.ok(roundCount(simulation, 'switched') > before);
+  assert.deepEqual(simulation.group.mixed, []);
 });
 
 /**
@@ -75,7 +78,7 @@
  * each rank (2.8 MB, 5.4 s of its link of 4.2 Mbit/s, where a prepare has 5 s). The code before brings 2 maps here.
  */
 test('in a group of 129 ranks on slow links maps come on after each shift of demand', async () => {
-  const play = startCoordinators({
+  const simulation = startCoordinators({
     seed: 1,
     ranks: 129,
     coordinators: 2,
@@ -86,23 +89,23 @@
     linkBytesPerMs: 525,
     callMs: 1,
     mapBytes: 22_000,
-    inTurn: true,
+    usesElection: true,
   });
-  await play.time.playUntil(4000);
-  const before = rounds(play, 'switched');
-  await play.time.playUntil(21_500);
-  assert.equal(takeovers(play), 1);
-  assert.equal(rounds(play, 'blocked'), 0);
+  await simulation.time.playUntil(4000);
+  const before = roundCount(simulation, 'switched');
+  await simulation.time.playUntil(21_500);
+  assert.equal(takeoverCount(simulation), 1);
+  assert.equal(roundCount(simulation, 'blocked'), 0);
   // Demand shifts at 7.2, 10.8, 14.4 and 18.0 s.
-  const maps = rounds(play, 'switched') - before;
+  const maps = roundCount(simulation, 'switched') - before;
   assert.ok(maps >= 4, `${maps} maps`);
-  assert.deepEqual(play.group.mixed, []);
+  assert.deepEqual(simulation.group.mixed, []);
 });
 
 test('agents that stand still while they pass orders on mix no maps, and the group goes on', async () => {
   for (let seed = 1; seed <= 4; seed += 1) {
     const random = seededRandom(seed);
-    const play = startCoordinators({
+    const simulation = startCoordinators({
       seed,
       ranks: 40,
       coordinators: 3,
@@ -110,20 +113,20 @@
       copyMs: 60,
       lateShare: 0.02,
       shiftSteps: 25,
-      inTurn: true,
+      usesElection: true,
     });
     // What a frozen agent was about to pass on is passed on when it wakes, up to 4 s late.
     const freeze = (): void => {
       const rank = Math.floor(40 * random());
-      play.frozen.add(rank);
-      play.time.after(200 + 3800 * random(), () => play.frozen.delete(rank));
-      if (play.time.nowMs() < 20_000) play.time.after(700 + 2500 * random(), freeze);
+      simulation.frozen.add(rank);
+      simulation.time.after(200 + 3800 * random(), () => simulation.frozen.delete(rank));
+      if (simulation.time.nowMs() < 20_000) simulation.time.after(700 + 2500 * random(), freeze);
     };
-    play.time.after(2000, freeze);
-    await play.time.playUntil(36_000);
-    const before = rounds(play, 'switched');
-    await play.time.playUntil(44_000);
-    assert.deepEqual(play.group.mixed, [], `seed ${seed}`);
-    assert.ok(rounds(play, 'switched') > before, `seed ${seed}: maps come on afterwards`);
+    simulation.time.after(2000, freeze);
+    await simulation.time.playUntil(36_000);
+    const before = roundCount(simulation, 'switched');
+    await simulation.time.playUntil(44_000);
+    assert.deepEqual(simulation.group.mixed, [], `seed ${seed}`);
+    assert.ok(roundCount(simulation, 'switched') > before, `seed ${seed}: maps come on afterwards`);
   }
 });
--- a/test/group/own-group.test.ts
+++ b/test/group/own-group.test.ts
@@ -3,7 +3,7 @@
 import { asId, type EndpointId } from '../../src/core/ids/index.js';
 import type { RankReply } from '../../src/core/groups/index.js';
 import { PublishedState, type PublishedEndpoint } from '../../src/core/published/index.js';
-import { GroupLooks } from '../../src/group/group-looks.js';
+import { GroupPoller } from '../../src/group/group-poller.js';
 import { OwnGroup } from '../../src/group/own-group.js';
 import { groupDigest, rankReply } from '../fixtures/engine.js';
 
@@ -12,9 +12,9 @@
 const SERVICE = asId<PublishedEndpoint['service']>('llm');
 
 /** Three groups of three behind one service; their engines are dealt out in turn over the addresses. */
-function engineAt(index: number, life = 1): PublishedEndpoint {
+function engineAt(index: number, incarnation = 1): PublishedEndpoint {
   return {
-    id: asId<EndpointId>(`e-${index}-${life}`),
+    id: asId<EndpointId>(`e-${index}-${incarnation}`),
     service: SERVICE,
     address: `10.0.0.${index}:8228`,
     dataCentre: asId('a'),
@@ -32,9 +32,9 @@
 interface Agent {
   readonly state: PublishedState;
   readonly group: OwnGroup;
-  readonly looks: GroupLooks;
+  readonly poller: GroupPoller;
   readonly silent: Set<number>;
-  readonly asked: string[];
+  readonly polled: string[];
 }
 
 function startAgent(index: number): Agent {
@@ -44,51 +44,51 @@
     false,
   );
   const group = new OwnGroup(state, { host: `10.0.0.${index}`, port: 8228 }, PORT);
-  group.noteOwn(replyAt(index));
+  group.recordOwnReply(replyAt(index));
   const silent = new Set<number>();
-  const asked: string[] = [];
-  const looks = new GroupLooks({
+  const polled: string[] = [];
+  const poller = new GroupPoller({
     self: agentAt(index),
     group: () => group.group,
     agents: () => group.agents(),
-    noteReply: (address, reply) => group.noteReply(address, reply),
+    onReply: (address, reply) => group.recordReply(address, reply),
     clock: { nowMs: () => 0, wallMs: () => 0 },
     callAll: (_, members) =>
       Promise.resolve(
         members.map(({ address }) => {
-          asked.push(address);
+          polled.push(address);
           const at = Number(/\.(\d+):/.exec(address)?.[1]);
           return silent.has(at) ? undefined : replyAt(at);
         }),
       ),
   });
-  return { state, group, looks, silent, asked };
+  return { state, group, poller, silent, polled };
 }
 
 test('of several groups behind one service a coordinator sees its own, and asks the others once', async () => {
   const agent = startAgent(1);
-  const seen = await agent.looks.look(undefined, [], false);
-  assert.equal(agent.asked.length, 9);
+  const seen = await agent.poller.poll(undefined, [], false);
+  assert.equal(agent.polled.length, 9);
   assert.ok(seen.kind === 'seen');
   assert.deepEqual(seen.addresses, [1, 4, 7].map(agentAt));
-  agent.asked.length = 0;
-  await agent.looks.look(undefined, [], false);
-  assert.deepEqual(agent.asked, [1, 4, 7].map(agentAt));
+  agent.polled.length = 0;
+  await agent.poller.poll(undefined, [], false);
+  assert.deepEqual(agent.polled, [1, 4, 7].map(agentAt));
 });
 
 test('a silent agent of another group keeps nobody from seeing its own', async () => {
   const agent = startAgent(1);
   agent.silent.add(2);
-  assert.equal((await agent.looks.look(undefined, [], false)).kind, 'seen');
+  assert.equal((await agent.poller.poll(undefined, [], false)).kind, 'seen');
   agent.silent.add(4);
-  assert.equal((await agent.looks.look(undefined, [], false)).kind, 'unseen');
+  assert.equal((await agent.poller.poll(undefined, [], false)).kind, 'unseen');
 });
 
 test('members are learnt from the digest of the own coordinator as well', () => {
   const { group } = startAgent(4);
   const hosts = ['10.0.0.1', '10.0.0.4', '10.0.0.7'];
   const digest = groupDigest({ group: 'g1', hosts });
-  group.noteDigest(digest);
+  group.recordDigest(digest);
   assert.equal(group.isComplete(), true);
   assert.deepEqual(group.agents(), [1, 4, 7].map(agentAt));
 });
@@ -97,7 +97,7 @@
   const { group, state } = startAgent(4);
   const hosts = ['10.0.0.1', '10.0.0.4', '10.0.0.7'];
   group.agents();
-  group.noteDigest(groupDigest({ group: 'g1', hosts }));
+  group.recordDigest(groupDigest({ group: 'g1', hosts }));
   const others = Array.from({ length: 9 }, (_, i) => i).filter((i) => i !== 4 && i !== 7);
   state.offerList(
     others.map((i) => engineAt(i)),
@@ -108,10 +108,10 @@
 
 test('an engine that was replaced is looked for anew among those whose group is unknown', async () => {
   const agent = startAgent(1);
-  await agent.looks.look(undefined, [], false);
+  await agent.poller.poll(undefined, [], false);
   const listed = Array.from({ length: 9 }, (_, i) => engineAt(i, i === 4 ? 2 : 1));
   agent.state.offerList(listed, false);
   assert.deepEqual(agent.group.agents(), [1, 4, 7].map(agentAt));
-  const seen = await agent.looks.look(undefined, [], false);
+  const seen = await agent.poller.poll(undefined, [], false);
   assert.equal(seen.kind, 'seen');
 });
--- a/test/group/switch-play.ts
+++ b/test/group/switch-simulation.ts
@@ -14,85 +14,85 @@
 import { createSwitchEngine } from '../../src/group/switch-engine.js';
 
 /** What goes wrong while switches are made. */
-export interface Trouble {
+export interface Faults {
   readonly lateShare: number;
   /** Share of calls between daemons that are lost, on the way there or back. */
   readonly lostShare: number;
-  readonly restarts: boolean;
-  readonly reforms: boolean;
+  readonly restartsAgents: boolean;
+  readonly reformsGroup: boolean;
   /** Whether all agents are killed at once now and then, so that nobody remembers any promise. */
-  readonly killsAll: boolean;
+  readonly killsAllAgents: boolean;
   readonly coordinators: number;
 }
 
-export const CALM: Trouble = {
+export const NO_FAULTS: Faults = {
   lateShare: 0,
   lostShare: 0,
-  restarts: false,
-  reforms: false,
-  killsAll: false,
+  restartsAgents: false,
+  reformsGroup: false,
+  killsAllAgents: false,
   coordinators: 1,
 };
-const TROUBLE_MS = 30_000;
+const FAULT_PHASE_MS = 30_000;
 /** Orders are carried out 12 s late at most. */
-const CALM_AFTER_MS = 24_000;
+const RECOVERY_PHASE_MS = 24_000;
 const RANKS = 3;
 
-export interface Outcome {
+export interface SimulationResult {
   readonly group: RankGroup;
   readonly switched: number;
   readonly stepsAfter: number;
 }
 
 /** Plays one seed: trouble for half a minute, then none; coordinators go on all the while. */
-export async function play(
+export async function simulate(
   seed: number,
-  trouble: Trouble,
+  faults: Faults,
   options: Partial<RankGroupOptions> = {},
-): Promise<Outcome> {
+): Promise<SimulationResult> {
   const time = new VirtualTime();
   const random = seededRandom(seed);
-  const inTrouble = (): boolean => time.nowMs() < TROUBLE_MS;
+  const inFaultPhase = (): boolean => time.nowMs() < FAULT_PHASE_MS;
   const group = new RankGroup(time, random, {
     ranks: RANKS,
     stepMs: 40,
     copyMs: 100,
-    lateShare: () => (inTrouble() ? trouble.lateShare : 0),
+    lateShare: () => (inFaultPhase() ? faults.lateShare : 0),
     checksFences: true,
     ...options,
   });
-  let lives = 0;
+  let gateCount = 0;
   const makeGate = (rank: number): RankGate => {
-    lives += 1;
-    const parts = {
+    gateCount += 1;
+    const deps = {
       calls: group.calls(rank),
       clock: time,
       layers: () => 1,
       pause: time.sleep,
-      isOwn: true,
+      isLocal: true,
     };
-    return new RankGate(asId(`life-${lives}`), createSwitchEngine(parts), () => rank);
+    return new RankGate(asId(`life-${gateCount}`), createSwitchEngine(deps), () => rank);
   };
   const gates = Array.from({ length: RANKS }, (_, rank) => makeGate(rank));
-  const lost = (): boolean => inTrouble() && random() < trouble.lostShare;
+  const isLost = (): boolean => inFaultPhase() && random() < faults.lostShare;
   const call = async (rank: number, order: RankOrder): Promise<RankReply> => {
-    const life = kills;
+    const killsAtSend = kills;
     await time.sleep(1 + random() * 4);
-    if (lost()) throw new Error('lost on the way');
+    if (isLost()) throw new Error('lost on the way');
     // What a killed coordinator sent and nobody has read dies with its connections.
-    if (life !== kills) throw new Error('the process was killed');
+    if (killsAtSend !== kills) throw new Error('the process was killed');
     const reply = await (gates[rank] as RankGate).serve(order);
-    if (lost()) throw new Error('lost on the way back');
+    if (isLost()) throw new Error('lost on the way back');
     return reply;
   };
   let switched = 0;
   let kills = 0;
-  const coordinate = async (own: number): Promise<void> => {
+  const coordinate = async (coordinator: number): Promise<void> => {
     let highest = 0;
-    const life = kills;
+    const killsAtStart = kills;
     for (;;) {
       await time.sleep(50 + random() * 200);
-      if (life !== kills) return;
+      if (killsAtStart !== kills) return;
       const end = await runSwitch(
         {
           group: 'g',
@@ -102,49 +102,47 @@
           wantsCounts: false,
           marginSteps: () => 3,
         },
-        nextEpoch(highest, own),
-        (view) => ({ id: String(view.epoch), layers: [[[0], [1], [2, life]]] }),
+        nextEpoch(highest, coordinator),
+        (view) => ({ id: String(view.epoch), layers: [[[0], [1], [2, killsAtStart]]] }),
       );
-      highest = Math.max(nextEpoch(highest, own), end.kind === 'blocked' ? end.highest : 0);
+      highest = Math.max(nextEpoch(highest, coordinator), end.kind === 'blocked' ? end.highest : 0);
       if (end.kind === 'switched') switched += 1;
     }
   };
   const startAll = (): void => {
-    for (let own = 0; own < trouble.coordinators; own += 1) void coordinate(own);
+    for (let coordinator = 0; coordinator < faults.coordinators; coordinator += 1)
+      void coordinate(coordinator);
   };
   startAll();
-  const upset = (): void => {
-    if (!inTrouble()) return;
+  const injectFaults = (): void => {
+    if (!inFaultPhase()) return;
     const rank = Math.floor(random() * RANKS);
-    if (trouble.restarts) gates[rank] = makeGate(rank);
-    if (trouble.reforms && random() < 0.3) group.reform();
-    if (trouble.killsAll) {
+    if (faults.restartsAgents) gates[rank] = makeGate(rank);
+    if (faults.reformsGroup && random() < 0.3) group.reform();
+    if (faults.killsAllAgents) {
       kills += 1;
       gates.forEach((_, each) => (gates[each] = makeGate(each)));
       startAll();
     }
-    time.after(500 + random() * 4000, upset);
+    time.after(500 + random() * 4000, injectFaults);
   };
-  time.after(1000, upset);
-  await time.playUntil(TROUBLE_MS + CALM_AFTER_MS / 2);
+  time.after(1000, injectFaults);
+  await time.playUntil(FAULT_PHASE_MS + RECOVERY_PHASE_MS / 2);
   const before = group.step;
-  await time.playUntil(TROUBLE_MS + CALM_AFTER_MS);
+  await time.playUntil(FAULT_PHASE_MS + RECOVERY_PHASE_MS);
   return { group, switched, stepsAfter: group.step - before };
 }
 
 /** Seeds that each kind of trouble is played with. */
 const SEEDS = 25;
 /** Least steps after the trouble: at 40 ms a step 12 s hold 300, and each switch may cost a step or two. */
-const LEAST_STEPS_AFTER = 180;
+const MIN_STEPS_AFTER = 180;
 
 /** Plays a kind of trouble with many seeds: no step begins with two maps, and the group goes on afterwards. */
-export async function survives(trouble: Trouble): Promise<void> {
+export async function assertRecovers(faults: Faults): Promise<void> {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const { group, stepsAfter } = await play(seed, trouble);
+    const { group, stepsAfter } = await simulate(seed, faults);
     assert.deepEqual(group.mixed, [], `seed ${seed}`);
-    assert.ok(
-      stepsAfter > LEAST_STEPS_AFTER,
-      `seed ${seed}: ${stepsAfter} steps after the trouble`,
-    );
+    assert.ok(stepsAfter > MIN_STEPS_AFTER, `seed ${seed}: ${stepsAfter} steps after the trouble`);
   }
 }
