--- a/src/agent/endpoint.ts
+++ b/src/agent/endpoint.ts
@@ -1,19 +1,19 @@
-/** The agent's connection to its model engine. */
+/** Connection of an agent to its model endpoint. */
 import type { KeptConnections } from '../runtime/index.js';
 
-/** What the agent asks of its engine. */
+/** Calls from an agent to its endpoint. */
 export interface Endpoint {
-  /** GET of a JSON document: a rank's state. */
+  /** Reads a JSON document such as the rank's state with GET. */
   read(path: string): Promise<unknown>;
-  /** POST of an order; the answer's status and JSON. */
+  /** Sends an order with POST; returns the response's status and JSON. */
   order(path: string, body: object): Promise<{ status: number; data: unknown }>;
 }
 
-/** Time that an engine may take for an answer, ms. */
+/** Timeout of a response, ms. */
 const RESPONSE_TIMEOUT_MS = 2000;
 
 /**
- * Connects to an engine.
+ * Creates the connection to an endpoint.
  * @example await connectEndpoint(connections, 'http://10.1.0.4:8000').read('/state');
  */
 export function connectEndpoint(connections: KeptConnections, origin: string): Endpoint {
--- a/src/agent/placement-round.ts
+++ b/src/agent/placement-round.ts
@@ -1,4 +1,7 @@
-/** What a coordinator decides in a round: counts in, a new map out when it is worth its cost. */
+/**
+ * Placement rounds of a coordinator: chooses a new expert map from token counts when the gain
+ * outweighs its cost.
+ */
 import { PRELOAD_MS } from '../core/events/index.js';
 import type { ChooseMap, ExpertMap, GroupView } from '../core/groups/index.js';
 import {
@@ -15,22 +18,22 @@
 import type { DaemonContext } from '../runtime/index.js';
 import type { ConfigurationBody, GroupConfig } from '../generated/configuration.types.js';
 
-/** Experts of a group that an event declares hot now or soon, and whether one runs now. */
-function activeDeclaredShifts(
+/** Experts of a group that events declare hot now or soon, and whether an event is active now. */
+function declaredShiftsAt(
   body: ConfigurationBody,
   group: string,
   wallMs: number,
 ): { shifts: DeclaredShift[]; inEvent: boolean } {
-  const activeEvents = (body.events ?? []).filter(
+  const relevantEvents = (body.events ?? []).filter(
     (e) => wallMs >= e.startMs - PRELOAD_MS && wallMs < e.startMs + e.durationMs,
   );
   return {
-    shifts: activeEvents.flatMap((e) => (e.hotExperts ?? []).filter((h) => h.group === group)),
-    inEvent: activeEvents.some((e) => wallMs >= e.startMs),
+    shifts: relevantEvents.flatMap((e) => (e.hotExperts ?? []).filter((h) => h.group === group)),
+    inEvent: relevantEvents.some((e) => wallMs >= e.startMs),
   };
 }
 
-/** Makes one group's decisions; lives as long as its coordinator does. */
+/** Placement state of one group; lives as long as its coordinator. */
 export class PlacementRound {
   private readonly estimate: PopularityEstimate;
   private lastRoundAtMs: number;
@@ -45,14 +48,14 @@
     this.lastRoundAtMs = ctx.clock.nowMs();
   }
 
-  /** The choice of this round, for `runSwitch`. */
+  /** Chooses the map of this round, for `runSwitch`. */
   readonly chooseMap: ChooseMap = (view) => {
     const body = this.ctx.store.config?.body;
     if (!body || !view.map) return undefined;
     const elapsedMs = this.ctx.clock.nowMs() - this.lastRoundAtMs;
     this.lastRoundAtMs = this.ctx.clock.nowMs();
     this.estimate.add(this.countsOf(view, view.map), elapsedMs);
-    const { shifts, inEvent } = activeDeclaredShifts(body, this.group.id, this.ctx.clock.wallMs());
+    const { shifts, inEvent } = declaredShiftsAt(body, this.group.id, this.ctx.clock.wallMs());
     const policy = this.policyOf(body, inEvent, elapsedMs);
     const plan = planPlacement(view.map.layers, withShift(this.estimate.read(), shifts, 1), policy);
     this.ctx.metrics.observe('group_skew_permille', plan.skewBefore * 1000, {
@@ -72,7 +75,7 @@
     return { id, layers: plan.placement.map((layer) => layer.map((rank) => [...rank])) };
   };
 
-  /** Tokens by layer and expert, put together from each rank's slots. */
+  /** Tokens by layer and expert, combined from the slots of each rank. */
   private countsOf(view: GroupView, map: ExpertMap): number[][] {
     const counts = Array.from({ length: this.group.layers }, () =>
       new Array<number>(this.group.experts).fill(0),
@@ -91,7 +94,7 @@
 
   private policyOf(body: ConfigurationBody, inEvent: boolean, elapsedMs: number): PlacementPolicy {
     const { policy } = body;
-    // The store's rate is split among the groups by the document alone, with no message.
+    // Each group computes its share of the store's rate from the document, without messages.
     const bytesPerSecond = policy.weightStoreBytesPerSecond / Math.max(1, body.groups.length);
     const maxBytes = (bytesPerSecond * MAX_SAVED_MS) / 1000;
     this.availableBytes = Math.min(
--- a/src/agent/rank.ts
+++ b/src/agent/rank.ts
@@ -1,4 +1,7 @@
-/** The agent's part in its group's map switch, as a rank and, when it is first in line, as coordinator. */
+/**
+ * Participates in map switches of the group, as a rank and, if no lower rank is alive, as
+ * coordinator.
+ */
 import { sleep } from '../core/clock/index.js';
 import { errorText } from '../core/errors/index.js';
 import {
@@ -27,12 +30,12 @@
   run(signal: AbortSignal): Promise<void>;
 }
 
-/** Time one order may take, ms; loading experts is the longest part. */
+/** Timeout of one order, ms; loading experts takes longest. */
 const ORDER_TIMEOUT_MS = 10_000;
 const HELLO_TIMEOUT_MS = 500;
 const HTTP_NOT_FOUND = 404;
 
-/** The endpoint's order interface, behind the gate. */
+/** Adapts the endpoint's order interface to the gate. */
 function createRankEngine(endpoint: Endpoint, checksFences: boolean): RankEngine {
   return {
     read: async ({ counts }) =>
@@ -40,17 +43,18 @@
         counts?: number[][];
       },
     order: async (order) => {
-      // An engine that checks no fences keeps none either.
+      // An engine that does not check fences does not store them either.
       if (order.kind === 'fence' && !checksFences) return 'done';
       const { status } = await endpoint.order('/orders', order);
-      if (status === HTTP_NOT_FOUND) throw new Error('the endpoint takes no orders');
+      if (status === HTTP_NOT_FOUND)
+        throw new Error('endpoint answered 404 to POST /orders: it does not support map switches');
       return status === 200 ? 'done' : 'refused';
     },
   };
 }
 
 /**
- * Starts the rank's part of an agent.
+ * Starts the rank of an agent.
  * @example const rank = startRank(ctx, endpoint, settings); void rank.run(signal);
  */
 export function startRank(
@@ -58,9 +62,9 @@
   endpoint: Endpoint,
   settings: { id: string; checksFences?: boolean },
 ): Rank {
-  const groupOf = (): GroupConfig | undefined =>
+  const ownGroup = (): GroupConfig | undefined =>
     ctx.store.config?.body.groups.find((g) => g.endpoints.includes(settings.id));
-  const rankIndex = (): number => groupOf()?.endpoints.indexOf(settings.id) ?? 0;
+  const rankIndex = (): number => ownGroup()?.endpoints.indexOf(settings.id) ?? 0;
   const gate = new RankGate(
     ctx.incarnation,
     createRankEngine(endpoint, settings.checksFences ?? true),
@@ -69,11 +73,11 @@
   let highestEpoch = 0;
   let knownMap: ExpertMap | undefined;
   let lastSwitch: SwitchEnd | undefined;
-  let placementRound: { shape: string; placement: PlacementRound } | undefined;
+  let placementRound: { configJson: string; placement: PlacementRound } | undefined;
 
   const pauseMs = (): number => {
     const { groupMs } = ctx.settings.timing;
-    const group = groupOf();
+    const group = ownGroup();
     return group ? roundPauseMs({ ...group, ranks: group.endpoints.length }, groupMs) : groupMs;
   };
 
@@ -81,13 +85,15 @@
     const target = group.endpoints[rank] ?? '';
     if (target === settings.id) return gate.serve(order);
     const address = ctx.view().agentByEndpoint.get(target)?.address;
-    if (!address) throw new Error(`the list names no agent of ${target}`);
+    if (!address) throw new Error(`no agent is listed for endpoint ${target}`);
     return ctx.peers
       .at(address)
       .rank.mutate(order, { signal: AbortSignal.timeout(ORDER_TIMEOUT_MS) });
   }
 
-  /** Whether a rank before this one answers; it then coordinates. Only a hint: two may, safely. */
+  /**
+   * Whether a lower rank responds, which then coordinates. Only a hint: two coordinators are safe.
+   */
   async function hasLiveLowerRank(group: GroupConfig): Promise<boolean> {
     const lowerRanks = group.endpoints.slice(0, rankIndex());
     for (const endpointId of lowerRanks) {
@@ -106,10 +112,10 @@
   }
 
   async function coordinate(group: GroupConfig): Promise<void> {
-    // A new document that leaves the group as it was keeps what was learnt of its popularity.
-    const groupConfigJson = JSON.stringify(group);
-    if (placementRound?.shape !== groupConfigJson)
-      placementRound = { shape: groupConfigJson, placement: new PlacementRound(ctx, group) };
+    // A new document that does not change the group keeps its popularity estimate.
+    const configJson = JSON.stringify(group);
+    if (placementRound?.configJson !== configJson)
+      placementRound = { configJson: configJson, placement: new PlacementRound(ctx, group) };
     const coordination: Coordination = {
       group: group.id,
       ranks: group.endpoints.length,
@@ -122,7 +128,8 @@
     const { chooseMap } = placementRound.placement;
     lastSwitch = await runSwitch(coordination, epoch, (view) => {
       knownMap = view.map;
-      // A pause before the choice makes the promises old news: the next round takes new ones.
+      // If the process was suspended before the choice, its promises are stale: the next round gets
+      // new ones.
       return ctx.pause.lateMs() > 0 ? undefined : chooseMap(view);
     });
     highestEpoch = lastSwitch.kind === 'blocked' ? Math.max(epoch, lastSwitch.highest) : epoch;
@@ -139,7 +146,7 @@
   return {
     serve: (order) => gate.serve(order),
     status: () => ({
-      group: groupOf()?.id,
+      group: ownGroup()?.id,
       rank: rankIndex(),
       promised: gate.epoch,
       lastRound: lastSwitch,
@@ -147,7 +154,7 @@
     run: async (signal) => {
       while (!signal.aborted) {
         await sleep(pauseMs() * (0.75 + ctx.random() / 2), signal);
-        const group = groupOf();
+        const group = ownGroup();
         if (!group || signal.aborted) continue;
         try {
           if (!(await hasLiveLowerRank(group))) await coordinate(group);
