--- a/src/group/active-entries.ts
+++ b/src/group/active-entries.ts
@@ -1,20 +1,26 @@
-/** The entries that asked an agent for the group lately: counted, so that each can find its share. */
+/**
+ * Tracks the entries that recently requested the group digest from an agent; their number tells
+ * each entry its share of the group.
+ */
 
-/** Time for which an entry counts after it asked, ms: each asks some agent every 150 ms. */
+/**
+ * Time an entry counts as active after a request, ms: each entry sends one to some agent every 150
+ * ms.
+ */
 const ACTIVE_WINDOW_MS = 1500;
 
-/** Entries by the time of their last question. Times are monotonic ms. */
+/** Entries by the time of their last request, monotonic ms. */
 export class ActiveEntries {
   private readonly lastRequestAtMs = new Map<string, number>();
 
-  /** Notes a question of an entry. */
+  /** Records a request from an entry. */
   record(entry: string, nowMs: number): void {
     this.lastRequestAtMs.set(entry, nowMs);
   }
 
   /**
-   * Entries that asked lately; others are forgotten.
-   * @example askers.recent(clock.nowMs()).length
+   * Returns the active entries and removes the expired ones.
+   * @example activeEntries.recent(clock.nowMs()).length
    */
   recent(nowMs: number): string[] {
     for (const [entry, atMs] of this.lastRequestAtMs)
--- a/src/group/agent-process.ts
+++ b/src/group/agent-process.ts
@@ -1,4 +1,7 @@
-/** One agent process, beside one rank's engine: serves the rank's orders and may coordinate the group. */
+/**
+ * Agent process running beside one rank's engine: executes orders for the rank and may coordinate
+ * its group.
+ */
 import { sleep, SuspensionClock, systemClock } from '../core/clock/index.js';
 import { RankGate, type RankOrder } from '../core/groups/index.js';
 import { newIncarnation } from '../core/ids/index.js';
@@ -36,7 +39,7 @@
 import { CoordinatorElection } from './coordinator-election.js';
 import { createSwitchEngine } from './switch-engine.js';
 
-/** What an agent is started with. */
+/** Dependencies of an agent process. */
 export interface AgentParts {
   readonly settings: InstanceSettings;
   readonly reread: () => Result<InstanceSettings, HarriergladeError>;
@@ -45,20 +48,23 @@
 }
 
 /**
- * Starts an agent.
+ * Starts an agent and listens for RPC calls.
  * @example await startAgent({ settings, reread, store, connect });
  */
 export async function startAgent(deps: AgentParts): Promise<void> {
   const { settings } = deps;
   const { ownEndpoint } = settings;
-  if (!ownEndpoint) throw new Error('the settings name no engine of this machine');
+  if (!ownEndpoint) throw new Error('settings: no engine of this instance is configured');
   const clock = systemClock;
   const log = createLog('info', { instance: settings.instance });
   const metrics = new Metrics();
   const state = new PublishedState();
   const sharedDeps = { clock, random: Math.random, log, metrics };
   const ageClock = new SuspensionClock(clock, noteStep(log, metrics));
-  /** Parts that hold what others told: it grows old also while the machine is suspended. */
+  /**
+   * For components that hold received data: their clock keeps counting while the instance is
+   * suspended, so that the data still ages.
+   */
   const suspensionAwareDeps = { ...sharedDeps, clock: ageClock };
   const shutdown = new AbortController();
   const group = new OwnGroup(state, ownEndpoint, settings.internalPort);
@@ -80,7 +86,8 @@
       source,
       pace: {
         ...AGENT_PACE,
-        // Changes elsewhere in the service are many at large sites, and news only while a member is missing.
+        // Large sites see many changes elsewhere in the service; they matter here only while a
+        // member is missing.
         get changePauseMs() {
           return changePauseMs(group.agents().length, group.isComplete());
         },
@@ -92,7 +99,7 @@
   const agents = (): string[] => group.agents();
   const self = `${settings.ip}:${settings.internalPort}`;
   const layers = (): number => group.engineInfo()?.layers ?? 0;
-  /** A gate before the engine at a host; ports are the same on all instances. */
+  /** Creates a gate in front of the engine at a host; all instances use the same ports. */
   const createGate = (host: string, isLocal: boolean): RankGate => {
     const calls = deps.connect(`http://${host}:${ownEndpoint.port}`, log, metrics);
     const engine = createSwitchEngine({ calls, clock, layers, pause: sleep, isLocal });
@@ -107,7 +114,9 @@
     rank: () => group.rank,
     size: () => agents().length,
   });
-  /** Whether an order comes from the own group, as far as either side knows; an empty name is none. */
+  /**
+   * Whether an order may come from the own group. An empty or unknown group name matches any group.
+   */
   const mayBeOwnGroup = (order: RankOrder): boolean =>
     mayBeSameGroup(group.group, order.group || undefined);
   const applyDigest = (received: GroupDigest | undefined): void => {
@@ -129,7 +138,9 @@
     };
   };
 
-  /** Asks the own engine until it has told its group and rank: nobody else may ask before. */
+  /**
+   * Polls the own engine until it reports its group and rank; no coordinator may be polling it yet.
+   */
   const discoverOwnRank = async (): Promise<void> => {
     while (group.rank === undefined) {
       try {
@@ -143,7 +154,7 @@
   };
 
   const directGates = new Map<string, RankGate>();
-  /** A gate of our own before another agent's engine. */
+  /** Returns the gate through which this process drives another agent's engine directly. */
   const directGateFor = (address: string): RankGate => {
     const existing = directGates.get(address);
     if (existing) return existing;
@@ -168,7 +179,7 @@
     branch: (order) => serveBranch(callAgent, order),
     group: (request) => {
       if (request.sends) activeEntries.record(request.from, clock.nowMs());
-      // A digest that nobody renews tells of a group as it was.
+      // A digest that is no longer renewed describes an outdated state of the group.
       return digest.read(MAX_DIGEST_AGE_MS);
     },
   });
--- a/src/group/coordinator-election.ts
+++ b/src/group/coordinator-election.ts
@@ -1,7 +1,7 @@
 /**
- * Which agent of a group coordinates. Whoever coordinates looks at the others; an agent that nobody has looked
- * at for long enough is due to take over, those of lower rank first. Before it does, it asks the others whether
- * they have heard of a coordinator.
+ * Decides which agent of a group coordinates. The coordinator polls the others; an agent that has
+ * not been polled for long enough becomes a candidate, lower ranks first. Before a candidate takes
+ * over it asks the others whether another coordinator polls them.
  */
 import type { Clock } from '../core/clock/index.js';
 import type { RankReply } from '../core/groups/index.js';
@@ -9,30 +9,30 @@
 import type { Metrics } from '../core/metrics/index.js';
 import { TAKEOVER_STAGGER_MS, takeoverTimeoutMs } from './consts.js';
 
-/** What an agent needs to know whether it coordinates. */
+/** Dependencies of the election. */
 export interface CoordinatorElectionDeps {
   /** Address of this agent. */
   readonly self: string;
-  /** Rank of its engine; undefined until the engine has told it. */
+  /** Rank of the own engine; undefined until the engine has reported it. */
   readonly rank: () => number | undefined;
-  /** Agents of the group. */
+  /** Number of agents in the group. */
   readonly size: () => number;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
-/** An agent that was heard of, and when, monotonic ms. */
+/** An agent that acts as coordinator, and when it was last observed, monotonic ms. */
 interface ObservedCoordinator {
   readonly from: string;
   readonly atMs: number;
 }
 
-/** The place of one agent in the line of those who may coordinate. */
+/** One agent's view of who coordinates its group. */
 export class CoordinatorElection {
-  /** When another agent was last known to look after the group. */
+  /** When another coordinator was last known to be active. */
   private coordinatorSeenAtMs: number;
-  /** Whose looks reached this agent. */
+  /** The agent that recently polled this one; of several, the one with the lowest address. */
   private heard: ObservedCoordinator | undefined;
   private isCoordinating = false;
 
@@ -40,7 +40,10 @@
     this.coordinatorSeenAtMs = deps.clock.nowMs();
   }
 
-  /** Notes a look of an agent; of two that look after the group the one with the lower address goes on. */
+  /**
+   * Records a poll from another agent; of two coordinators the one with the lower address
+   * continues.
+   */
   recordPoll(from: string): void {
     if (from === this.deps.self) return;
     const atMs = this.deps.clock.nowMs();
@@ -50,9 +53,10 @@
   }
 
   /**
-   * Notes what another agent has heard of. An agent may hear nothing of a coordinator that others hear of, as behind a
-   * cut, or in a branch whose first agent is silent: where it took over then, the rounds of both ended each other, and no
-   * map came into use for 8.5 s (large-group.test).
+   * Records which coordinator another agent observes. A coordinator may be unreachable from here
+   * but not from others, behind a network partition or in a branch with an unresponsive forwarder.
+   * If this agent took over then, the two coordinators would abort each other's rounds; one such
+   * case left a group without a new map for 8.5 s.
    */
   recordReply(reply: RankReply): void {
     const { heard } = reply;
@@ -61,8 +65,8 @@
   }
 
   /**
-   * Whose looks reached this agent of late, other than those of the asker.
-   * @example succession.heardBesides(order.from)?.agoMs // 120
+   * Returns the agent that recently polled this one, unless it is the asker itself.
+   * @example election.recentPollerExcept(order.from)?.agoMs // 120
    */
   recentPollerExcept(asker: string | undefined): RankReply['heard'] {
     const { heard: lastPoller } = this;
@@ -70,20 +74,20 @@
     return { from: lastPoller.from, agoMs: Math.round(this.deps.clock.nowMs() - lastPoller.atMs) };
   }
 
-  /** Whether nobody is known to look after the group and it is this agent's turn to find out. */
+  /** Whether no coordinator is known and this agent's takeover timeout has expired. */
   isCandidate(): boolean {
     const { rank, size, clock } = this.deps;
-    const own = rank();
-    if (own === undefined) return false;
+    const ownRank = rank();
+    if (ownRank === undefined) return false;
     return (
       clock.nowMs() - this.coordinatorSeenAtMs >
-      takeoverTimeoutMs(size()) + own * TAKEOVER_STAGGER_MS
+      takeoverTimeoutMs(size()) + ownRank * TAKEOVER_STAGGER_MS
     );
   }
 
   /**
-   * Whether this agent coordinates, now that it has asked the others.
-   * @example if (succession.isDue()) { await look(); if (succession.takesOver()) await round(); }
+   * Whether this agent coordinates, given the replies of the others to its poll.
+   * @example if (election.isCandidate()) { await poll(); if (election.shouldCoordinate()) await runRound(); }
    */
   shouldCoordinate(): boolean {
     const isCandidate = this.isCandidate();
--- a/src/group/coordinator-task.ts
+++ b/src/group/coordinator-task.ts
@@ -1,4 +1,7 @@
-/** The coordinator of a group: looks at every rank, and brings in a new map when it is worth its copies. */
+/**
+ * Coordinator of a group: polls every rank, and switches to a new expert map when the gain
+ * outweighs the copies.
+ */
 import { errorText } from '../core/errors/index.js';
 import type { ExpertMap, GroupView, RankOrder, RankReply } from '../core/groups/index.js';
 import type { Log } from '../core/logging/index.js';
@@ -24,12 +27,15 @@
 import { RoundTimes } from './round-times.js';
 import { SwitchRounds } from './switch-rounds.js';
 
-/** What a coordinator needs. */
+/** Dependencies of the coordinator. */
 export interface CoordinatorDeps extends GroupPollerDeps {
   readonly engine: () => EngineInfo | undefined;
-  /** Acts for the agent at an address, straight on its engine; used only while that agent is silent. */
+  /**
+   * Sends an order directly to the engine beside an agent; used only while that agent is
+   * unresponsive.
+   */
   readonly callEngineDirectly: (address: string, order: RankOrder) => Promise<RankReply>;
-  /** Waits, ms; a test may bring its own time. */
+  /** Waits, ms; tests may supply simulated time. */
   readonly pause: (ms: number) => Promise<void>;
   readonly random: () => number;
   readonly log: Log;
@@ -38,13 +44,13 @@
 
 /** Tells an agent whether it coordinates. */
 export interface CoordinatorRole {
-  /** Whether it is to look at the group. */
+  /** Whether it should poll the group. */
   readonly isCandidate: () => boolean;
-  /** Whether it is to act on what it saw. */
+  /** Whether it should act on the poll's result. */
   readonly shouldCoordinate: () => boolean;
 }
 
-/** Coordinates while its line says so. */
+/** Coordinates the group while its role says so. */
 export class CoordinatorTask {
   private readonly poller: GroupPoller;
   private readonly maps = new KnownMaps();
@@ -53,9 +59,12 @@
   private readonly digestBuilder: DigestBuilder;
   private readonly latestDigest: LatestDigest;
   private isSwitching = false;
-  /** Whether it looked at the group the last time that it was to see to it. */
+  /** Whether the last iteration polled the group. */
   private isPolling = false;
-  /** Since when some agent has not answered, while a switch is open. */
+  /**
+   * When an agent was first found unresponsive while a switch was open or the group stalled,
+   * monotonic ms; reset by a successful poll.
+   */
   private unresponsiveSinceMs: number | undefined;
   private lastStep = 0;
   private lastStepAtMs = 0;
@@ -85,7 +94,7 @@
   }
 
   private pollIntervalMs(): number {
-    // Who may have to take over looks whether it has to more often than agents take over from one another.
+    // A candidate must check its role more often than the takeover stagger between ranks.
     if (!this.isPolling || this.deps.agents().length <= MAX_DIRECT_CALLS) return POLL_INTERVAL_MS;
     return this.isSwitching ? SWITCHING_POLL_INTERVAL_MS : LARGE_GROUP_POLL_INTERVAL_MS;
   }
@@ -104,11 +113,14 @@
     this.updateDigest(polled, this.deps.clock.nowMs() - startedAtMs);
     this.rounds.recordEpochs(polled.replies);
     this.planner.addCounts(polled.fresh);
-    // Looks go on while a switch is made: entries and the next plan need what they tell.
+    // Polling continues during a switch: entries and the next plan need its results.
     if (!this.isSwitching) this.advance(polled.replies, polled.addresses);
   }
 
-  /** Keeps the digest of a look that took so long, unless too few ranks answered to tell of all. */
+  /**
+   * Stores the digest of a poll, unless too few ranks replied to represent the group. `tookMs` is
+   * its initial age.
+   */
   private updateDigest(polled: Extract<PollResult, { kind: 'seen' }>, tookMs: number): void {
     if (polled.loadReplies.length < Math.min(MIN_DIGEST_REPLIES, polled.replies.length)) return;
     const digest = this.digestBuilder.build(
@@ -133,7 +145,10 @@
       this.recoverIfUnresponsive(addresses, replies);
   }
 
-  /** Whether the group has work and has not begun a step for long: a rank that is not seen may hold it. */
+  /**
+   * Whether the group has work but has started no step for too long: an unresponsive rank may be
+   * holding it.
+   */
   private isStalled(replies: readonly (RankReply | undefined)[]): boolean {
     const nowMs = this.deps.clock.nowMs();
     const step = Math.max(...replies.map((reply) => reply?.step ?? 0));
@@ -142,7 +157,10 @@
     return hasWork && nowMs - this.lastStepAtMs > STALLED_AFTER_MS;
   }
 
-  /** Begins a rescue once an agent has been silent for long enough; looks go on meanwhile. */
+  /**
+   * Starts recovery once an agent has been unresponsive for long enough; polling continues
+   * meanwhile.
+   */
   private recoverIfUnresponsive(
     addresses: readonly string[],
     replies: readonly (RankReply | undefined)[],
@@ -153,7 +171,7 @@
     this.trackSwitch(this.recover(addresses, replies));
   }
 
-  /** Takes a switch that has begun; there is one at a time. */
+  /** Tracks a switch that has started; only one runs at a time. */
   private trackSwitch(switching: Promise<unknown>): void {
     this.isSwitching = true;
     void switching
@@ -162,8 +180,8 @@
   }
 
   /**
-   * Ends a switch that a silent agent left open: its rank may hold the group, which nobody else sees.
-   * The engines' fences keep whatever that agent still does when it wakes from counting.
+   * Completes a switch that an unresponsive agent left open: its rank may hold the group, which no
+   * other agent can see. Engine fences reject whatever that agent still sends when it resumes.
    */
   private async recover(
     addresses: readonly string[],
@@ -181,7 +199,10 @@
       }),
     );
     const ordered = sortByRank(all, addresses.length);
-    if (!ordered) throw new Error('an engine whose agent is silent cannot be reached either');
+    if (!ordered)
+      throw new Error(
+        'cannot recover the group: ranks are still missing after calling the engines of unresponsive agents directly',
+      );
     this.rounds.recordEpochs(ordered);
     const addressByRank = addressesOf(ordered, all, addresses);
     const end = await this.rounds.run(addressByRank, () => undefined, { silent: unresponsive });
@@ -189,7 +210,7 @@
   }
 
   private advance(ordered: GroupReplies, addressByRank: readonly string[]): void {
-    // A map that every rank has confirmed comes into use by itself as its step begins.
+    // A map confirmed by every rank takes effect by itself at its step.
     if (ordered.every((reply) => reply.armed?.confirmed)) return;
     const isOpen = ordered.some((reply) => reply.armed);
     this.trackSwitch(
@@ -231,7 +252,7 @@
     });
   }
 
-  /** Logs the skew that is lived with, now and then. */
+  /** Logs the current skew, rate-limited. */
   private logSkew(skew: number): void {
     const nowMs = this.deps.clock.nowMs();
     if (nowMs - this.skewLoggedAtMs < SKEW_LOG_INTERVAL_MS) return;
@@ -240,7 +261,7 @@
     this.deps.log.info('group.seen', { skew: Number(skew.toFixed(2)), stepMs });
   }
 
-  /** Logs why no round can be made, now and then. */
+  /** Counts a round that cannot run and logs the reason, rate-limited. */
   private recordSkippedRound(why: string, detail: string): void {
     const nowMs = this.deps.clock.nowMs();
     this.deps.metrics.count('rounds_without_group_total', { why });
--- a/src/group/digest-builder.ts
+++ b/src/group/digest-builder.ts
@@ -1,21 +1,23 @@
-/** Sums up what a round saw, for entries: which engines are slow or busy, and how long a step takes. */
+/**
+ * Summarises a poll of the group for entries: pace and load of each engine, and the time per step.
+ */
 import type { Clock } from '../core/clock/index.js';
 import type { GroupDigest } from '../generated/messages.types.js';
 import type { RankReply } from '../core/groups/index.js';
 import { loadOf, totalLoad, type GroupReplies } from './group-view.js';
 
-/** Weight of the newest step time in the mean. */
+/** Weight of the newest sample in the moving average of step times. */
 const NEWEST_STEP_WEIGHT = 0.4;
 
 /**
- * Streams of a whole group from the ranks that answered one look. What the others ran at an earlier look is old, so each of
- * them counts as one of those that answered.
+ * Estimates the streams of the whole group from the ranks that replied to one poll. Values of
+ * earlier polls are outdated, so each other rank counts as the average of those that replied.
  */
 function estimateGroupLoad(replies: GroupReplies, answered: readonly RankReply[]): number {
   return (totalLoad(answered) * replies.length) / Math.max(1, answered.length);
 }
 
-/** Makes a digest of each round. */
+/** Builds one digest per poll. */
 export class DigestBuilder {
   private group = '';
   private lastStep: number | undefined;
@@ -25,8 +27,9 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * The digest of one round; `replies` is undefined when the group was not whole, `asked` are those of this look.
-   * @example digester.take(ordered, ordered, hosts).pace
+   * Builds a digest; `replies` is undefined when the group is incomplete, `answered` holds the
+   * replies of this poll.
+   * @example digestBuilder.build(ordered, ordered, hosts).pace
    */
   build(
     replies: GroupReplies | undefined,
@@ -48,7 +51,7 @@
       };
     }
     this.updateStepMs(Math.max(...replies.map((reply) => reply.step)));
-    // A group without work makes no step: the time until its next one says nothing.
+    // An idle group makes no steps, so the time until its next step is no step time.
     if (!replies.some((reply) => (reply.running ?? 0) > 0)) this.lastStep = undefined;
     this.group = replies[0]?.group ?? '';
     return {
--- a/src/group/engine-calls.ts
+++ b/src/group/engine-calls.ts
@@ -1,36 +1,45 @@
-/** What an agent can ask of its own engine and order it to do, in our words. */
+/** Interface between an agent and its model engine, independent of the platform's wire format. */
 
-/** A rank's state as its engine tells it, fresh. */
+/** State of a rank as reported by its engine. */
 export interface EngineReport {
   /** Name of the group; a service may have several. */
   readonly group: string;
-  /** When the engine's process started, Unix ms; 0 where it does not say. A later one holds nothing of before. */
+  /**
+   * Start time of the engine process, Unix ms; 0 if not reported. A restarted process retains no
+   * earlier state.
+   */
   readonly startedAtMs: number;
-  /** How often the group was formed; each time it starts with its first map and nothing armed. */
+  /**
+   * Number of times the group has been formed; each time it starts with its initial map and nothing
+   * armed.
+   */
   readonly groupEpoch: number;
   readonly rank: number;
-  /** Ranks of the group; undefined where the engine does not say. */
+  /** Number of ranks in the group; undefined if the engine does not report it. */
   readonly ranks: number | undefined;
-  /** Whether the group runs; a broken one has lost a rank. */
+  /** Whether the group is running; a broken group has lost a rank. */
   readonly isOpen: boolean;
-  /** How slow the engine is; 1 is its ordinary pace. */
+  /** Slowdown factor of the engine; 1 is normal speed. */
   readonly pace: number;
-  /** Requests that it works on, and that wait for it. */
+  /** Requests in flight, and requests queued. */
   readonly running: number;
   readonly queued: number;
-  /** The last step that began. */
+  /** The last step that started. */
   readonly step: number;
-  /** Version of the map in use; 0 is the one that a group starts with. */
+  /** Version of the map in use; 0 is the initial map of a group. */
   readonly mapVersion: number;
   /** Version whose experts have been copied, ready to be armed. */
   readonly preparedVersion: number | undefined;
-  /** Version that the rank changes to as a step begins. */
+  /** Version that the rank switches to at the start of a step. */
   readonly armed: { readonly version: number; readonly step: number } | undefined;
-  /** Step that the group does not begin until this rank is told to go. */
+  /** Step that the group does not start until this rank receives `go`. */
   readonly heldStep: number | undefined;
 }
 
-/** Orders of the map switch. Versions only rise; a step that has begun can be neither armed nor held. */
+/**
+ * Orders of a map switch. Versions only increase; a step that has started can be neither armed nor
+ * held.
+ */
 export type EngineCommand =
   | {
       readonly kind: 'prepare';
@@ -43,23 +52,23 @@
   | { readonly kind: 'hold'; readonly step: number }
   | { readonly kind: 'go'; readonly step: number };
 
-/** What an engine said to an order. */
+/** Outcome of an order. */
 export type CommandAnswer =
-  /** Begun, done, or in effect already. */
+  /** Started, completed, or already in effect. */
   | 'taken'
-  /** It does not fit the engine's state, or the group was formed anew. */
+  /** It does not match the engine's state, or the group has been re-formed. */
   | 'refused'
   /** The engine has seen a higher fence. */
   | 'fenced'
-  /** No answer: it may have been taken, or may be carried out seconds later. */
+  /** No reply: the order may have been accepted, or may be executed seconds later. */
   | 'unanswered';
 
-/** An agent's own engine. Rejects when the engine cannot be reached. */
+/** Calls to an agent's own engine. Rejects when the engine is unreachable. */
 export interface EngineCalls {
   report(): Promise<EngineReport>;
-  /** Experts that this rank holds in the map in use, by layer. */
+  /** Experts held by this rank in the map in use, by layer. */
   placed(): Promise<number[][]>;
-  /** Tokens of this rank's own requests by layer and expert, since the engine's start. */
+  /** Tokens of this rank's requests by layer and expert, since the engine's start. */
   picked(layers: number): Promise<number[][]>;
   command(command: EngineCommand, fence: number, groupEpoch: number): Promise<CommandAnswer>;
 }
--- a/src/group/fan-out.ts
+++ b/src/group/fan-out.ts
@@ -1,10 +1,11 @@
 /**
- * Sends one order to many agents of a group. Few are called one by one. Many are called by branches: one agent of each
- * branch passes the order on to the others and answers for all, so that neither the processor nor the link of the
- * coordinator bears a call to each.
+ * Sends one order to many agents of a group. Small groups are called directly. Large ones are
+ * called through branches: one agent per branch forwards the order to the others and returns their
+ * replies, so that the coordinator's CPU and link do not carry a call to each agent.
  *
- * With 129 ranks a call to each costs the coordinator 52 ms of processor a phase, 130 ms of its share of a core, and a look
- * with the digest 279 KB, 0.5 s of its link of 4.2 Mbit/s; by branches 21 calls and 32 KB (fan-out.test).
+ * With 129 ranks, direct calls cost the coordinator 52 ms of CPU per phase (130 ms on its share of
+ * a core), and a poll with the digest 279 KB, 0.5 s of its 4.2 Mbit/s link; branches reduce this to
+ * 21 calls and 32 KB.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { Clock } from '../core/clock/index.js';
@@ -19,23 +20,27 @@
 } from './consts.js';
 import { sumCounts } from './group-view.js';
 
-/** One agent that an order goes to, and what stands in the order for it alone. */
+/** One recipient of an order, with the fields of the order that are specific to it. */
 export type Member = BranchOrder['members'][number];
 
-/** Sends one order to the agent at an address; rejects when it cannot be reached in time. */
-export type CallAgent = (address: string, order: RankOrder, withinMs: number) => Promise<RankReply>;
+/** Sends an order to the agent at an address; rejects when it does not reply in time. */
+export type CallAgent = (
+  address: string,
+  order: RankOrder,
+  timeoutMs: number,
+) => Promise<RankReply>;
 
-/** Sends an order to the agent that passes it on; rejects when that one cannot be reached in time. */
+/** Sends an order to the agent that forwards it; rejects when that agent does not reply in time. */
 export type CallBranch = (
-  head: string,
+  forwarder: string,
   order: BranchOrder,
-  withinMs: number,
+  timeoutMs: number,
 ) => Promise<BranchReply>;
 
-/** Replies in the order of the members; undefined stands for one that gave none in time. */
+/** Replies in the order of the members; undefined for a member that did not reply in time. */
 export type Replies = (RankReply | undefined)[];
 
-/** What sending needs. */
+/** Dependencies of the fan-out. */
 export interface FanOutDeps {
   readonly self: string;
   readonly call: CallAgent;
@@ -59,7 +64,7 @@
   };
 }
 
-/** Calls each of some agents. */
+/** Calls each member directly. */
 function callEach(
   call: CallAgent,
   order: RankOrder,
@@ -67,13 +72,13 @@
   timeoutMs: number,
 ): Promise<Replies> {
   const calls = members.map((member) =>
-    // Who does not answer is counted and logged by whoever needs all of them.
+    // Callers that need all replies count and log the missing ones.
     call(member.address, orderFor(order, member), timeoutMs).catch(() => undefined),
   );
   return Promise.all(calls);
 }
 
-/** Puts the tokens that were counted at several members into the first reply that tells some. */
+/** Merges the token counts of several members into the first reply that carries counts. */
 function mergeCounts(replies: Replies): Replies {
   const counts = sumCounts(replies);
   const firstCounted = replies.findIndex((reply) => reply?.counted);
@@ -87,18 +92,22 @@
 }
 
 /**
- * Passes an order on to the members of a branch, and answers for them; rejects what is no order.
+ * Forwards an order to the members of a branch and returns their replies; rejects an invalid order.
  * @example router.branch = (order) => serveBranch(call, order)
  */
 export async function serveBranch(call: CallAgent, branch: BranchOrder): Promise<BranchReply> {
   const order = unpack(branch.order);
   if (!isRankOrder(order))
-    throw new Error('the order of a branch does not fit its schema: run daemons of one version');
+    throw new Error(
+      'branch order does not fit its schema: run the same daemon version on all instances',
+    );
   const replies = await callEach(call, order, branch.members, branch.withinMs);
   return { replies: pack(mergeCounts(replies).map((reply) => reply ?? null)) };
 }
 
-/** Branches of neighbours: addresses in order lie in one data centre for the most part. */
+/**
+ * Splits members into branches of neighbouring addresses, which are mostly in the same data centre.
+ */
 function splitIntoBranches(members: readonly Member[]): Member[][] {
   const sorted = [...members].sort((a, b) => (a.address < b.address ? -1 : 1));
   const count = Math.ceil(sorted.length / MAX_BRANCH_SIZE);
@@ -108,13 +117,13 @@
 
 /** Sends the orders of one coordinator. */
 export class FanOut {
-  /** Agents that failed to pass an order on, and when, monotonic ms. */
+  /** Agents that failed to forward an order, and when, monotonic ms. */
   private readonly failedAtMs = new Map<string, number>();
 
   constructor(private readonly deps: FanOutDeps) {}
 
   /**
-   * Sends an order to some agents.
+   * Sends an order to the members of a group.
    * @example await fanOut.callAll({ group: '', kind: 'look', epoch: 0 }, addresses.map((address) => ({ address })), 250)
    */
   async callAll(order: RankOrder, members: readonly Member[], timeoutMs: number): Promise<Replies> {
@@ -144,13 +153,14 @@
       const { replies } = await callBranch(forwarder, branch, timeoutMs + FORWARDING_ALLOWANCE_MS);
       return (unpack(replies) as (RankReply | null)[]).map((reply) => reply ?? undefined);
     } catch {
-      // The others of the branch may be well: they are asked without it, and another one passes on from now on.
+      // The rest of the branch may be healthy: call it directly, and choose another forwarder next
+      // time.
       this.failedAtMs.set(forwarder, this.deps.clock.nowMs());
       return callEach(call, order, members, timeoutMs);
     }
   }
 
-  /** The agent that passes orders on: this one, or the first that did not fail lately. */
+  /** Chooses the forwarder: this agent, or the first one that has not failed recently. */
   private chooseForwarder(members: readonly Member[]): string {
     const addresses = members.map((member) => member.address);
     if (addresses.includes(this.deps.self)) return this.deps.self;
--- a/src/group/group-poller.ts
+++ b/src/group/group-poller.ts
@@ -1,6 +1,7 @@
 /**
- * Looks at the ranks of a group through their agents. Of a large group only some ranks tell what their requests chose,
- * since counts are most of the bytes, and tokens counted at some ranks tell what is in demand at all of them.
+ * Polls the ranks of a group through their agents. In a large group only a sample of ranks reports
+ * token counts, because counts make up most of the bytes and a sample shows the demand of all
+ * ranks.
  */
 import type { Clock } from '../core/clock/index.js';
 import type { RankOrder, RankReply } from '../core/groups/index.js';
@@ -14,54 +15,60 @@
 import type { Member, Replies } from './fan-out.js';
 import { addressesOf, mayBeSameGroup, sortByRank, type GroupReplies } from './group-view.js';
 
-/** Sends one order to some agents; the replies are in their order. */
+/** Sends one order to several agents; the replies are in the order of the members. */
 export type CallAgents = (
   order: RankOrder,
   members: readonly Member[],
-  withinMs: number,
+  timeoutMs: number,
 ) => Promise<Replies>;
 
-/** What looking needs. */
+/** Dependencies of the poller. */
 export interface GroupPollerDeps {
   readonly self: string;
-  /** Name of the own group; undefined until its engine has told it. */
+  /** Name of the own group; undefined until its engine has reported it. */
   readonly group: () => string | undefined;
-  /** Addresses of the agents of the group, this one's included, and of those whose group is not known yet. */
+  /**
+   * Addresses of the group's agents, including this one, and of agents whose group is still
+   * unknown.
+   */
   readonly agents: () => readonly string[];
-  /** Called with each reply: it tells to which group its rank belongs. */
+  /** Called with each reply, which names the group of its rank. */
   readonly onReply: (address: string, reply: RankReply) => void;
   readonly callAll: CallAgents;
   readonly clock: Clock;
 }
 
-/** A group as it was seen. */
+/** Result of a poll. */
 export type PollResult =
   | {
       readonly kind: 'seen';
-      /** In order of rank; as at the last look at all, where a rank did not answer while a switch is under way. */
+      /**
+       * In order of rank; during a switch, the replies of the last complete poll if a rank did not
+       * reply.
+       */
       readonly replies: GroupReplies;
       /** Addresses of the agents, in order of rank. */
       readonly addresses: readonly string[];
-      /** Replies of this look that fit the others. */
+      /** Replies of this poll, if all ranks replied consistently; otherwise empty. */
       readonly fresh: readonly RankReply[];
-      /** Replies of this look that tell what their ranks run. */
+      /** Replies of this poll that report the current load of their ranks. */
       readonly loadReplies: readonly RankReply[];
-      /** Whether all ranks answered. */
+      /** Whether all ranks replied. */
       readonly isWhole: boolean;
     }
-  /** Some agent did not answer, or the ranks do not make one group. */
+  /** An agent did not reply, or the ranks do not form one group. */
   | {
       readonly kind: 'unseen';
       readonly addresses: readonly string[];
-      /** By address. */
+      /** In order of `addresses`. */
       readonly replies: readonly (RankReply | undefined)[];
     };
 
 type SeenGroup = Extract<PollResult, { kind: 'seen' }>;
 
 /**
- * Some of the agents, spread evenly over the list, which is ordered by address and so by data centre.
- * @example sampleOf(['a', 'b', 'c', 'd'], 2) // ['a', 'c']
+ * Samples addresses evenly from the list, which is sorted by address and so by data centre.
+ * @example sampleEvenly(['a', 'b', 'c', 'd'], 2) // ['a', 'c']
  */
 export function sampleEvenly(addresses: readonly string[], size: number): readonly string[] {
   if (addresses.length <= size) return addresses;
@@ -69,17 +76,18 @@
   return Array.from({ length: size }, (_, i) => addresses[Math.floor(i * stride)] as string);
 }
 
-/** Looks of one coordinator. */
+/** Polls on behalf of one coordinator. */
 export class GroupPoller {
-  /** The last look to which all ranks answered. */
+  /** The last poll to which all ranks replied. */
   private lastComplete: SeenGroup | undefined;
   private digestSentAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly parts: GroupPollerDeps) {}
 
   /**
-   * Looks once. While a switch is under way ranks of a large group may answer late: then those that did tell of it.
-   * @example const seen = await looks.look(digest, maps.ids, false);
+   * Polls once. During a switch, ranks of a large group may reply late: the last complete poll is
+   * then returned with the current load of the ranks that replied.
+   * @example const result = await poller.poll(digest, maps.ids, false);
    */
   async poll(
     digest: GroupDigest | undefined,
@@ -111,7 +119,7 @@
     };
   }
 
-  /** Whether those who are asked should hear of the group; notes that they do. */
+  /** Whether this poll should carry the digest; if so, records the time. */
   private isDigestDue(): boolean {
     const nowMs = this.parts.clock.nowMs();
     if (nowMs - this.digestSentAtMs < DIGEST_INTERVAL_MS) return false;
@@ -130,7 +138,10 @@
     return replies;
   }
 
-  /** Whether a rank belongs to the own group, or may: a service may have several. */
+  /**
+   * Whether a rank belongs to the own group, or its group is unknown: a service may have several
+   * groups.
+   */
   mayBeMember(reply: RankReply | undefined): boolean {
     return mayBeSameGroup(this.parts.group(), reply?.group);
   }
@@ -157,7 +168,10 @@
     return this.lastComplete;
   }
 
-  /** Those that tell what they run although not all answered: while a switch is under way busy ranks answer late. */
+  /**
+   * Replies that report load although the poll is incomplete: busy ranks reply late during a
+   * switch.
+   */
   private loadRepliesOf(
     replies: readonly (RankReply | undefined)[],
     previous: SeenGroup,
--- a/src/group/group-view.ts
+++ b/src/group/group-view.ts
@@ -1,4 +1,4 @@
-/** Puts together what the ranks of a group tell. */
+/** Combines the replies of the ranks of a group. */
 import { setNewest, unpackCounts, type RankReply } from '../core/groups/index.js';
 import type { Placement, Popularity } from '../core/placement/index.js';
 
@@ -6,18 +6,18 @@
 export type GroupReplies = readonly RankReply[];
 
 /**
- * Whether something of one group may belong to another: what has not been told may be either.
- * @example mayBelong('g-1', undefined) // true
+ * Whether two group names may denote the same group; an unknown name may be any group.
+ * @example mayBeSameGroup('g-1', undefined) // true
  */
 export function mayBeSameGroup(own: string | undefined, other: string | undefined): boolean {
   return own === undefined || other === undefined || own === other;
 }
 
 /**
- * Orders replies by rank; undefined unless they are whole: each rank once, of one forming of the group.
- * Engines that know how many ranks there are count for more than the list, which may name only some of
- * them while they start; where none says, each of those asked is one.
- * @example orderReplies(replies, 12)?.[0]?.rank // 0
+ * Sorts replies by rank; undefined unless each rank replied once, all with the same group epoch. A
+ * number of ranks reported by engines takes precedence over the list, which may name only some of
+ * them during start-up; without one, every polled agent counts as a rank.
+ * @example sortByRank(replies, 12)?.[0]?.rank // 0
  */
 export function sortByRank(
   replies: readonly (RankReply | undefined)[],
@@ -34,7 +34,8 @@
 }
 
 /**
- * Addresses of the agents that gave ordered replies, in order of rank; `replies` are in that of `addresses`.
+ * Addresses of the agents that sent the ordered replies, in order of rank; `replies` and
+ * `addresses` correspond by index.
  * @example addressesOf(ordered, replies, addresses)[0] // the agent of rank 0
  */
 export function addressesOf(
@@ -46,7 +47,7 @@
 }
 
 /**
- * The id of the map that all ranks use; undefined while they are seen in different ones.
+ * Id of the map that all ranks use; undefined while they report different maps.
  * @example mapIdOf(replies) // '4096'
  */
 export function mapIdOf(replies: GroupReplies): string | undefined {
@@ -55,7 +56,7 @@
 }
 
 /**
- * The map in use, from what each rank holds; undefined where a rank did not tell.
+ * The map in use, combined from the experts of each rank; undefined if a rank did not report them.
  * @example placementOf(replies)?.[layer]?.[rank]
  */
 export function placementOf(replies: GroupReplies): Placement | undefined {
@@ -67,8 +68,8 @@
 }
 
 /**
- * Tokens by layer and expert that the replies tell together; undefined when none tells any.
- * @example countsOf(replies)?.[layer]?.[expert]
+ * Sums token counts by layer and expert over all replies; undefined if none has counts.
+ * @example sumCounts(replies)?.[layer]?.[expert]
  */
 export function sumCounts(replies: readonly (RankReply | undefined)[]): Popularity | undefined {
   const reported = replies.flatMap((reply) =>
@@ -87,23 +88,23 @@
   sums[at] = (sums[at] ?? 0) + count;
 }
 
-/** Streams that run or wait at the engine of one rank. */
+/** Streams in flight or queued at the engine of one rank. */
 export function loadOf(reply: RankReply): number {
   return (reply.running ?? 0) + (reply.queued ?? 0);
 }
 
 /**
- * Streams that run or wait at the engines of some ranks together.
- * @example runningOf(replies) // 48
+ * Streams in flight or queued at the engines of several ranks together.
+ * @example totalLoad(replies) // 48
  */
 export function totalLoad(replies: readonly RankReply[]): number {
   return replies.reduce((sum, reply) => sum + loadOf(reply), 0);
 }
 
-/** Maps kept; one is in use and one may be on its way. */
+/** Maximum number of maps kept: one is in use and one may be about to be. */
 const MAX_MAPS = 4;
 
-/** Maps that a coordinator made or was told, by id. An id never stands for another map. */
+/** Maps created or received by a coordinator, by id. An id is never reused for another map. */
 export class KnownMaps {
   private readonly byId = new Map<string, Placement>();
 
@@ -112,13 +113,13 @@
     return [...this.byId.keys()];
   }
 
-  /** Notes a map. */
+  /** Adds a map, evicting the oldest beyond the limit. */
   add(id: string, placement: Placement): void {
     setNewest(this.byId, id, placement, MAX_MAPS);
   }
 
   /**
-   * The map in use; undefined while ranks are seen in different ones, or nobody has told it.
+   * The map in use; undefined while ranks report different maps, or if its contents are unknown.
    * @example maps.inUse(replies)?.[layer]?.[rank]
    */
   inUse(replies: GroupReplies): Placement | undefined {
@@ -128,7 +129,7 @@
     if (known && known[0]?.length === replies.length) return known;
     const reported = placementOf(replies);
     if (reported) this.add(id, reported);
-    // What is held does not fit these ranks: it has to be told again.
+    // The map held does not match these ranks: drop it so that ranks report it again.
     else this.byId.delete(id);
     return reported;
   }
--- a/src/group/map-planner.ts
+++ b/src/group/map-planner.ts
@@ -1,4 +1,4 @@
-/** Plans the next map of a group from what its ranks counted. */
+/** Plans the next expert map of a group from the token counts of its ranks. */
 import type { Clock } from '../core/clock/index.js';
 import type { ExpertMap, RankReply } from '../core/groups/index.js';
 import {
@@ -12,23 +12,24 @@
 import { sumCounts, totalLoad, type GroupReplies } from './group-view.js';
 import { minGainPerCopy, maxNewPerRound } from './round-policy.js';
 
-/** A plan, and what it rests on. */
+/** A plan, and the basis for it. */
 export interface MapPlan extends RoundPlan {
-  /** Tokens of a layer that the estimate of demand holds. */
+  /** Tokens per layer in the demand estimate. */
   readonly tokens: number;
-  /** How long it took to make, ms. */
+  /** Planning time, ms. */
   readonly tookMs: number;
 }
 
 /**
- * A map by its id. That of a round is the round's epoch, so that no other round can have made it.
- * @example mapOf(view.epoch, plan.placement).id // '4096'
+ * Builds a map with its id. The map of a round uses the round's epoch, which no other round can
+ * have used.
+ * @example toExpertMap(view.epoch, plan.placement).id // '4096'
  */
 export function toExpertMap(id: number | string, placement: Placement): ExpertMap {
   return { id: String(id), layers: placement.map((layer) => layer.map((rank) => [...rank])) };
 }
 
-/** Plans of one coordinator. */
+/** Plans on behalf of one coordinator. */
 export class MapPlanner {
   private estimate: DemandEstimate | undefined;
   /** When the last plan was made, and how long it took, ms. */
@@ -36,7 +37,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes what ranks have counted since they were asked last. */
+  /** Adds the tokens that ranks counted since the previous poll. */
   addCounts(replies: readonly RankReply[]): void {
     const counts = sumCounts(replies);
     if (!counts) return;
@@ -45,7 +46,8 @@
   }
 
   /**
-   * A plan away from the map in use; undefined while too little is known, or the last plan took long and was a moment ago.
+   * Plans changes to the current map; undefined while too little is known, or too soon after a slow
+   * plan.
    * @example planner.plan(current, replies, engine)?.copies
    */
   plan(
@@ -69,7 +71,7 @@
     return { ...plan, tokens, tookMs: this.lastPlan.tookMs };
   }
 
-  /** Nobody is answered while a plan is made, so that most of the time has to be left for that. */
+  /** Planning blocks the event loop, so most of the time must be left for answering calls. */
   private isDue(): boolean {
     const { atMs, tookMs } = this.lastPlan;
     return this.clock.nowMs() - atMs >= PLAN_IDLE_FACTOR * tookMs;
--- a/src/group/own-group.ts
+++ b/src/group/own-group.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent knows of its own group. The published list names the engines of a service, and a service may have
- * several groups: which engines make up one of them is told by the engines only.
+ * What an agent knows about its own group. The published list names the engines of a service, which
+ * may have several groups; only the engines report which of them form a group.
  */
 import type { RankReply } from '../core/groups/index.js';
 import type { EndpointId } from '../core/ids/index.js';
@@ -21,10 +21,10 @@
   private name: string | undefined;
   private ownRank: number | undefined;
   private ranks: number | undefined;
-  /** Hosts of the members when the group was last seen whole. */
+  /** Hosts of the members when the group was last seen complete. */
   private lastCompleteHosts: readonly string[] = [];
   private service: ServiceId | undefined;
-  /** Groups of the service's engines, as far as they were told. */
+  /** Groups of the service's engines, as far as reported. */
   private readonly groupOf = new Map<EndpointId, string>();
 
   /** @param agentPort port of the agents; the same on all instances */
@@ -36,31 +36,34 @@
     this.ownAddress = `${ownEndpoint.host}:${ownEndpoint.port}`;
   }
 
-  /** Name of the group; undefined until its own engine has told it. */
+  /** Name of the group; undefined until the own engine has reported it. */
   get group(): string | undefined {
     return this.name;
   }
 
-  /** Rank of the own engine; undefined until it has told it. */
+  /** Rank of the own engine; undefined until the engine has reported it. */
   get rank(): number | undefined {
     return this.ownRank;
   }
 
-  /** What the group's engines are; undefined while this one is not listed. */
+  /** Published properties of the group's engines; undefined until this engine has been listed. */
   engineInfo(): EngineInfo | undefined {
     const service = this.ownService();
     return service && this.state.config?.services.get(service)?.engine;
   }
 
-  /** Whether this engine is listed and nothing tells what engines of its service are. */
+  /**
+   * Whether this engine is listed but the properties of its service's engines are not published.
+   */
   lacksEngineInfo(): boolean {
     return this.ownEndpointRecord() !== undefined && this.engineInfo() === undefined;
   }
 
   /**
-   * Addresses of its agents, in order: one runs beside each engine, at the engine's own host. While not all
-   * members are known and listed, those whose group is unknown are among them, and those that the group had
-   * when it was last seen whole: an engine whose machine stood still for 4 s is listed again seconds later.
+   * Sorted addresses of the group's agents: one runs beside each engine, on the engine's host.
+   * Until all members are known and listed, this includes agents whose group is unknown and the
+   * members when the group was last complete: an engine on an instance that stalled for 4 s is
+   * listed again only seconds later.
    */
   agents(): string[] {
     const listed = this.listedEndpoints();
@@ -77,21 +80,21 @@
     return this.hasAllMembers(this.membersOf(this.listedEndpoints()));
   }
 
-  /** Notes what the own engine tells. */
+  /** Records a reply of the own engine. */
   recordOwnReply(reply: RankReply): void {
     this.name = reply.group ?? this.name;
     this.ownRank = reply.rank ?? this.ownRank;
     this.ranks = reply.ranks ?? this.ranks;
   }
 
-  /** Notes to which group the engine beside an agent belongs. */
+  /** Records to which group the engine beside an agent belongs. */
   recordReply(address: string, reply: RankReply): void {
     const { group } = reply;
     const endpoint = this.listedEndpoints().find((e) => this.agentOf(e) === address);
     if (endpoint && group !== undefined) this.groupOf.set(endpoint.id, group);
   }
 
-  /** Notes the members that the group's coordinator saw. */
+  /** Records the members reported by the group's coordinator. */
   recordDigest(digest: GroupDigest): void {
     if (!digest.whole) return;
     this.lastCompleteHosts = digest.hosts;
@@ -120,7 +123,7 @@
     return [...this.state.list.values()].filter((endpoint) => endpoint.service === service);
   }
 
-  /** The service of the own engine; it stays while the engine is not listed for a moment. */
+  /** Service of the own engine; kept while the engine is temporarily not listed. */
   private ownService(): ServiceId | undefined {
     this.service = this.ownEndpointRecord()?.service ?? this.service;
     return this.service;
@@ -130,7 +133,9 @@
     return `${hostOf(endpoint.address)}:${this.agentPort}`;
   }
 
-  /** The record of the own engine; others may have written its address as well, under a service of no engines. */
+  /**
+   * Record of the own engine; its address may also be published under a service without engines.
+   */
   private ownEndpointRecord(): PublishedEndpoint | undefined {
     const atOwnAddress = [...this.state.list.values()].filter((e) => e.address === this.ownAddress);
     return (
--- a/src/group/round-times.ts
+++ b/src/group/round-times.ts
@@ -1,4 +1,4 @@
-/** How long the parts of one round took, for its log line: what makes a new map late. */
+/** Measures the phases of one round for its log line, to show why a new map is late. */
 import { timed, type Clock } from '../core/clock/index.js';
 import type { RankOrder } from '../core/groups/index.js';
 
@@ -8,7 +8,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Passes calls through and adds the time they took to that of their kind. */
+  /** Waits for calls and adds their duration to the total of their kind. */
   timed<T>(kind: RankOrder['kind'], calls: Promise<T>): Promise<T> {
     return timed(this.clock, calls, (tookMs) => {
       this.totalMsByKind.set(kind, (this.totalMsByKind.get(kind) ?? 0) + tookMs);
@@ -16,7 +16,7 @@
   }
 
   /**
-   * Whole ms by kind of order, as one text.
+   * Durations by kind of order in whole ms, as one text.
    * @example times.text // 'promise:40,prepare:260,arm:70,confirm:35'
    */
   get text(): string {
--- a/src/group/switch-engine.ts
+++ b/src/group/switch-engine.ts
@@ -1,10 +1,10 @@
 /**
- * Carries the steps of a map switch out on one engine. An engine may leave an order unanswered and carry
- * it out seconds later, so the engine's own report is the answer that counts, and each round's orders
- * carry a fence above those of all earlier ones: a late order then meets a higher fence and does nothing.
+ * Executes the phases of a map switch on one engine. An engine may leave an order unanswered and
+ * execute it seconds later, so only the engine's own report counts as its result, and the orders of
+ * each round carry a higher fence than all earlier ones: a late order is then rejected.
  *
- * The rank holds its group at the step of the switch before it arms, and lets go only at the decision. A
- * step therefore begins only when every rank has been told what was decided.
+ * The rank holds its group at the step of the switch before it arms, and releases it only at the
+ * decision. A step therefore starts only when every rank has received the decision.
  */
 import type { Clock } from '../core/clock/index.js';
 import type {
@@ -16,41 +16,52 @@
 } from '../core/groups/index.js';
 import type { CommandAnswer, EngineCalls, EngineCommand, EngineReport } from './engine-calls.js';
 
-/** Time for an order and its proof, ms; a copy of one expert takes 0.1 s, three in each layer 0.5 s. */
+/**
+ * Timeout of a prepare order until its effect is reported, ms; copying one expert takes 0.1 s,
+ * three per layer 0.5 s.
+ */
 const PREPARE_TIMEOUT_MS = 4000;
-/** Time for any other order and its proof, ms: the group may stand still meanwhile. */
+/**
+ * Timeout of any other order until its effect is reported, ms: the group may be stalled meanwhile.
+ */
 const ORDER_TIMEOUT_MS = 1500;
-/** Pause between two looks at a report, ms. */
+/** Interval between two reads of the report, ms. */
 const REPORT_POLL_INTERVAL_MS = 12;
 /**
- * The same while experts are copied, ms, which takes 0.25 to 0.65 s with 129 ranks: looked at each 12 ms, that was 20 to 50
- * reports a round at each agent, most of what a round cost them all.
+ * The same while experts are copied, ms, which takes 0.25 to 0.65 s with 129 ranks: every 12 ms
+ * would mean 20 to 50 reports per round at each agent, most of the cost of a round.
  */
 const COPY_POLL_INTERVAL_MS = 40;
 
 /**
- * A version that no round makes, since epochs begin at `EPOCH_STRIDE`. The round's own version would not
- * do: the order may be carried out late, when that version is armed at the other ranks too.
+ * A version that no round uses, since epochs start at `EPOCH_STRIDE`. The round's own version is
+ * unsuitable: the order may be executed late, when that version is already armed at the other
+ * ranks.
  */
 const UNUSED_VERSION = 1;
 
-/** What the steps of a switch need. */
+/** Dependencies of a switch engine. */
 export interface SwitchEngineDeps {
   readonly calls: EngineCalls;
   readonly clock: Clock;
-  /** Layers of the engine's model; 0 while they are not known. */
+  /** Layers of the engine's model; 0 while unknown. */
   readonly layers: () => number;
-  /** Whether the engine stands beside this process; what it tells costs nothing only then. */
+  /**
+   * Whether the engine runs beside this process; only then are experts and counts cheap to read.
+   */
   readonly isLocal: boolean;
-  /** Waits between two looks, ms; a test may bring its own time. */
+  /** Waits between two reads, ms; tests may supply simulated time. */
   readonly pause: (ms: number) => Promise<void>;
 }
 
-/** Orders of a round, and the decision that ends it, in rising order. */
+/** Fence of a round's orders, and the higher one of the decision that ends it. */
 const roundFence = (epoch: number): number => 2 * epoch;
 const decisionFence = (epoch: number): number => 2 * epoch + 1;
 
-/** What is open at the rank: held, armed, or both; told by version, which is the epoch that made it. */
+/**
+ * The open switch of the rank: held, armed, or both; identified by version, which is the epoch that
+ * made it.
+ */
 function openSwitchOf(report: EngineReport): EngineState['armed'] {
   const { armed, heldStep } = report;
   const step = heldStep ?? armed?.step;
@@ -65,18 +76,24 @@
 }
 
 /**
- * The engine of one rank, as the gate of the switch uses it.
- * @example new RankGate(incarnation, createSwitchEngine(parts), () => 0)
+ * Creates the engine of one rank, as used by its gate.
+ * @example new RankGate(incarnation, createSwitchEngine(deps), () => 0)
  */
 export function createSwitchEngine(deps: SwitchEngineDeps): RankEngine {
   const { calls, clock } = deps;
   let groupEpoch = 0;
-  /** Start of the engine's process that was fenced last, Unix ms. */
+  /** Start time of the engine process that was last fenced, Unix ms. */
   let fencedStartedAtMs = 0;
-  /** Whether an epoch has been fenced, in this life of the engine, that no earlier life of this agent took. */
+  /**
+   * Whether an epoch has been fenced, in this engine process, that no earlier incarnation of this
+   * agent used.
+   */
   let hasClaimedEpoch = false;
 
-  /** Gives an order until its proof shows in the report; `refused` when it cannot be had in time. */
+  /**
+   * Repeats an order until its effect shows in the report; `refused` if that does not happen in
+   * time.
+   */
   async function executeUntilApplied(
     command: EngineCommand,
     fence: number,
@@ -98,21 +115,22 @@
     return 'refused';
   }
 
-  /** Raises the engine's fence: disarming a version that no round makes is taken and changes nothing. */
+  /** Raises the engine's fence: disarming an unused version is accepted and changes nothing. */
   function raiseFence(to: number): Promise<OrderEnd> {
     const command: EngineCommand = { kind: 'disarm', version: UNUSED_VERSION };
     return executeUntilApplied(command, to, ORDER_TIMEOUT_MS, (_, answer) => answer === 'taken');
   }
 
   /**
-   * Fences a round. The first one of a life also proves that no earlier life took its epoch, or a higher
-   * one: the engine may still hold ready what that life prepared, under the version of this round.
+   * Fences a round. The first fence of an incarnation also ensures that no earlier one used this
+   * epoch or a higher one: the engine may still hold what that incarnation prepared under this
+   * round's version.
    */
   async function fence(epoch: number): Promise<OrderEnd> {
     const report = await calls.report();
     if (!report.isOpen) return 'refused';
     groupEpoch = report.groupEpoch;
-    // An engine that started again has forgotten its fences, and with them what was claimed.
+    // A restarted engine has lost its fences, and with them the claimed epoch.
     if (report.startedAtMs !== fencedStartedAtMs) hasClaimedEpoch = false;
     fencedStartedAtMs = report.startedAtMs;
     if (!hasClaimedEpoch) {
@@ -141,7 +159,7 @@
     );
   }
 
-  /** Lets the group go on at this rank. */
+  /** Lets the group continue at this rank. */
   async function releaseHold(epoch: number, step: number): Promise<OrderEnd> {
     const command: EngineCommand = { kind: 'go', step };
     return executeUntilApplied(
@@ -163,7 +181,8 @@
     const before = await calls.report();
     if (before.groupEpoch !== groupEpoch) return 'refused';
     const version = before.armed?.version ?? target;
-    // Once this is taken, an arm of this round that is still on its way meets a higher fence.
+    // Once this is accepted, an arm order of this round still in transit is rejected by the higher
+    // fence.
     const disarmed = await executeUntilApplied(
       { kind: 'disarm', version },
       decisionFence(epoch),
@@ -199,7 +218,8 @@
 
   async function read(wants: ReadWants): Promise<EngineState> {
     const report = await calls.report();
-    if (!report.isOpen) throw new Error('the group is broken: a rank is missing');
+    if (!report.isOpen)
+      throw new Error('engine reports that its group is broken: a rank is missing');
     const openSwitch = openSwitchOf(report);
     const mapId = String(report.mapVersion);
     const state: EngineState = {
--- a/src/group/switch-margin.ts
+++ b/src/group/switch-margin.ts
@@ -1,6 +1,6 @@
 /**
- * How many steps before a switch its arming begins. A group whose step is due before every rank has been
- * told the decision stands still, and every stream with it; a margin that is too wide makes maps late.
+ * Number of steps between arming and the switch. If the step is due before every rank has received
+ * the decision, the group stalls with all its streams; a margin that is too wide delays new maps.
  */
 import { timed, type Clock } from '../core/clock/index.js';
 import type { RankOrder } from '../core/groups/index.js';
@@ -11,14 +11,14 @@
   MARGIN_STEPS,
 } from './consts.js';
 
-/** Learns from the orders of each round how long arming and deciding take. */
+/** Estimates from the orders of each round how long arming and deciding take. */
 export class SwitchMargin {
-  /** Slowest lately, ms, by kind of order. */
+  /** Slowest recent duration, ms, by kind of order. */
   private readonly slowest = new Map<RankOrder['kind'], { ms: number; atMs: number }>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Passes calls through and notes how long they took, also when they failed. */
+  /** Waits for calls and records their duration, also when they fail. */
   timed<T>(kind: RankOrder['kind'], calls: Promise<T>): Promise<T> {
     return timed(this.clock, calls, (ms) => {
       if (ms >= this.decayedMs(kind)) this.slowest.set(kind, { ms, atMs: this.clock.nowMs() });
@@ -26,13 +26,13 @@
   }
 
   /**
-   * Steps from the newest one to that of the switch, for a step of so many ms; 0 stands for unknown.
+   * Steps from the newest one to the switch, for a step time in ms; 0 means unknown.
    * @example margin.steps(60) // 2
    */
   steps(stepMs: number): number {
     if (stepMs <= 0 || !this.slowest.has('arm')) return DEFAULT_MARGIN_STEPS;
     const neededMs = (this.decayedMs('arm') + this.decayedMs('confirm')) * MARGIN_FACTOR;
-    // The step that runs now may end at once.
+    // The current step may end at any moment.
     const steps = 1 + Math.ceil(neededMs / stepMs);
     return Math.min(MARGIN_STEPS.max, Math.max(MARGIN_STEPS.min, steps));
   }
--- a/src/group/switch-rounds.ts
+++ b/src/group/switch-rounds.ts
@@ -1,4 +1,4 @@
-/** Switch rounds of one coordinator: their epochs, their orders, and the margin before a switch. */
+/** Runs the switch rounds of one coordinator: epochs, orders, and the margin before a switch. */
 import type { Clock } from '../core/clock/index.js';
 import {
   nextEpoch,
@@ -18,23 +18,26 @@
 import { RoundTimes } from './round-times.js';
 import { SwitchMargin } from './switch-margin.js';
 
-/** What rounds need. */
+/** Dependencies of switch rounds. */
 export interface SwitchRoundsDeps {
   readonly self: string;
   readonly callAll: CallAgents;
-  /** Acts for the agent at an address, straight on its engine; used only while that agent is silent. */
+  /**
+   * Sends an order directly to the engine beside an agent; used only while that agent is
+   * unresponsive.
+   */
   readonly callEngineDirectly: (address: string, order: RankOrder) => Promise<RankReply>;
   readonly clock: Clock;
   readonly metrics: Metrics;
 }
 
-/** What a round may know besides its ranks. */
+/** Optional inputs of a round. */
 export interface SwitchRoundOptions {
-  /** Agents that do not answer, by address. */
+  /** Addresses of unresponsive agents. */
   readonly silent?: ReadonlySet<string>;
-  /** The map in use, as ranks may hold it. */
+  /** The map in use, which ranks may already hold. */
   readonly base?: ExpertMap;
-  /** Takes the times of its parts. */
+  /** Collects the durations of the round's phases. */
   readonly times?: RoundTimes;
 }
 
@@ -46,12 +49,12 @@
   return kind === 'confirm' || kind === 'abort' ? times.decisionMs : times.orderMs;
 }
 
-/** Makes rounds, one at a time. */
+/** Runs rounds, one at a time. */
 export class SwitchRounds {
   private readonly margin: SwitchMargin;
   private highestEpoch = 0;
 
-  /** @param stepMs time of a step lately, ms; 0 while it is not known */
+  /** @param stepMs recent time per step, ms; 0 while unknown */
   constructor(
     private readonly deps: SwitchRoundsDeps,
     private readonly stepMs: () => number,
@@ -59,15 +62,15 @@
     this.margin = new SwitchMargin(deps.clock);
   }
 
-  /** Fences and versions rise over everything that any rank has seen or holds. */
+  /** Records epochs, so that fences and versions exceed all that any rank has seen or holds. */
   recordEpochs(replies: GroupReplies): void {
     for (const { promised, lastConfirmed = 0, armed } of replies)
       this.highestEpoch = Math.max(this.highestEpoch, promised, lastConfirmed, armed?.epoch ?? 0);
   }
 
   /**
-   * Makes one round with an epoch above all that were seen.
-   * @example const end = await rounds.run(byRank, () => undefined); // finishes what is open
+   * Runs one round with an epoch above all recorded ones.
+   * @example const end = await rounds.run(addressByRank, () => undefined); // completes an open switch
    */
   async run(
     addressByRank: readonly string[],
@@ -99,7 +102,7 @@
     return end;
   }
 
-  /** Sends an order of a round; to the engines of silent agents straight. */
+  /** Sends an order of a round; for unresponsive agents, directly to their engines. */
   private async callRanks(
     order: RankOrder,
     ranks: readonly CalledRank[],
@@ -112,8 +115,8 @@
     }));
     const responsive = members.filter(({ address }) => !unresponsive.has(address));
     const bypassed = members.filter(({ address }) => unresponsive.has(address));
-    const directCalls = bypassed.map(({ address, ...own }) =>
-      this.deps.callEngineDirectly(address, { ...order, ...own }).catch(() => undefined),
+    const directCalls = bypassed.map(({ address, ...memberFields }) =>
+      this.deps.callEngineDirectly(address, { ...order, ...memberFields }).catch(() => undefined),
     );
     const replies = await this.deps.callAll(
       order,
--- a/test/group/agent-link.ts
+++ b/test/group/agent-link.ts
@@ -1,22 +1,25 @@
-/** What an agent has to send and answer with in a play: a link of some bytes a ms, and a processor for one call at a time. */
+/**
+ * Simulates an agent's network link, with limited bandwidth in each direction, and its CPU, which
+ * sends one call at a time.
+ */
 import { inflateRawSync } from 'node:zlib';
 import type { VirtualTime } from '../../fakes/rank-engine/index.js';
 
-/** What it is bound by; nothing where left out. */
+/** Limits of an agent; unlimited where omitted. */
 export interface AgentLinkOptions {
   readonly linkBytesPerMs?: number;
   readonly callMs?: number;
-  /** Bytes of a whole map. */
+  /** Bytes of a complete map. */
   readonly mapBytes?: number;
 }
 
-/** Bytes of an HTTP request or answer besides its body. */
+/** Bytes of an HTTP request or response besides its body. */
 const HTTP_OVERHEAD_BYTES = 250;
 
-/** Part of a text of base64 that deflating leaves of it. */
+/** Size of base64 text after deflating, relative to its original size. */
 const DEFLATED_BASE64_RATIO = 0.75;
 
-/** Bytes of the whole maps in a message, if it carries one. */
+/** Size of the complete map in a message, relative to `mapBytes`; 0 if it carries none. */
 function encodedMapRatio(message: unknown): number {
   const { map, order } = message as { readonly map?: unknown; readonly order?: unknown };
   if (map !== undefined) return 1;
@@ -25,7 +28,7 @@
   return text.includes('"map":') ? DEFLATED_BASE64_RATIO : 0;
 }
 
-/** Does one thing after the other. */
+/** A resource used by one operation at a time, in order. */
 class SerialResource {
   private availableAtMs = 0;
 
@@ -37,7 +40,7 @@
   }
 }
 
-/** One agent's link, each way, and its processor. */
+/** An agent's link in both directions, and its CPU. */
 export class AgentLink {
   private readonly processor: SerialResource;
   private readonly out: SerialResource;
@@ -58,7 +61,7 @@
     await this.out.occupy(this.transferMs(message));
   }
 
-  /** Answers a message of another agent. */
+  /** Replies to a message of another agent. */
   async answer(message: unknown, to: AgentLink): Promise<void> {
     await this.out.occupy(this.transferMs(message));
     await to.in.occupy(this.transferMs(message));
--- a/test/group/coordinator-election.test.ts
+++ b/test/group/coordinator-election.test.ts
@@ -29,7 +29,7 @@
   return { election, time, metrics };
 }
 
-test('an agent takes over when nobody has looked at it for long, those of lower rank first', async () => {
+test('agents take over after the poll timeout, staggered by rank', async () => {
   for (const rank of [0, 1, 5]) {
     const { election, time } = createAgent(rank);
     const dueMs = takeoverTimeoutMs(RANKS) + rank * TAKEOVER_STAGGER_MS;
@@ -40,13 +40,13 @@
   }
 });
 
-test('an agent that does not know its rank never coordinates', async () => {
+test('an agent whose rank is unknown never coordinates', async () => {
   const { election, time } = createAgent(undefined);
   await time.playUntil(60_000);
   assert.equal(election.shouldCoordinate(), false);
 });
 
-test('of two agents that coordinate the one with the lower address goes on', async () => {
+test('of two coordinators the one with the lower address continues', async () => {
   const { election, time, metrics } = createAgent(3);
   await time.playUntil(10_000);
   assert.equal(election.shouldCoordinate(), true);
@@ -58,21 +58,21 @@
   assert.equal(metrics.value('coordinator_changes_total', { to: 'other' }), 1);
 });
 
-test('an agent that is due does not take over when others have heard of a coordinator since', async () => {
+test('a candidate does not take over when another agent reports a recent coordinator', async () => {
   const { election, time, metrics } = createAgent(3);
   await time.playUntil(10_000);
   assert.equal(election.isCandidate(), true);
   election.recordReply(rankReply(7, { heard: { from: '10.0.0.4:1', agoMs: 100 } }));
-  assert.equal(election.isCandidate(), true, 'one behind it in the line yields to it');
+  assert.equal(election.isCandidate(), true, 'a coordinator with a higher address yields');
   election.recordReply(rankReply(7, { heard: { from: '10.0.0.0:1', agoMs: 300 } }));
   assert.equal(election.shouldCoordinate(), false);
   assert.equal(metrics.value('coordinator_changes_total', { to: 'self' }), 0);
-  // Its patience counts from when the coordinator was heard, not from when it was told so.
+  // The timeout counts from when the coordinator was observed, not from when that was reported.
   await time.playUntil(9700 + takeoverTimeoutMs(RANKS) + 3 * TAKEOVER_STAGGER_MS + 1);
   assert.equal(election.shouldCoordinate(), true);
 });
 
-test('an agent tells whose looks reached it of late, but not to the one who looks', async () => {
+test('an agent reports its recent poller, except to the poller itself', async () => {
   const { election, time } = createAgent(9);
   assert.equal(election.recentPollerExcept(undefined), undefined);
   election.recordPoll('10.0.0.0:1');
@@ -81,5 +81,5 @@
   assert.deepEqual(election.recentPollerExcept('10.0.0.3:1'), { from: '10.0.0.0:1', agoMs: 250 });
   assert.equal(election.recentPollerExcept('10.0.0.0:1'), undefined);
   await time.playUntil(takeoverTimeoutMs(RANKS) + 1);
-  assert.equal(election.recentPollerExcept('10.0.0.3:1'), undefined, 'too long ago');
+  assert.equal(election.recentPollerExcept('10.0.0.3:1'), undefined, 'the poll is too old');
 });
--- a/test/group/coordinator-simulation.ts
+++ b/test/group/coordinator-simulation.ts
@@ -1,4 +1,7 @@
-/** Coordinators of one group, played: agents that may freeze, before engines that step in lock-step. */
+/**
+ * Simulates the coordinators of one group: agents that may freeze, with engines that step in
+ * lock-step.
+ */
 import { RankGroup, VirtualTime } from '../../fakes/rank-engine/index.js';
 import { seededRandom } from '../../src/core/clock/index.js';
 import { RankGate, type RankOrder, type RankReply } from '../../src/core/groups/index.js';
@@ -24,42 +27,45 @@
   perRequestMs: 1,
 };
 
-/** How a group is played. */
+/** Parameters of a simulated group. */
 export interface CoordinatorSimulationOptions {
   readonly seed: number;
   readonly ranks: number;
-  /** Agents that may coordinate, from rank 0 on. */
+  /** Number of agents that may coordinate, from rank 0 on. */
   readonly coordinators: number;
-  /** Time of a step and of a round's copies, ms. */
+  /** Duration of a step and of a round's copies, ms. */
   readonly stepMs: number;
   readonly copyMs: number;
-  /** Share of orders that engines leave unanswered and carry out late. */
+  /** Fraction of orders that engines leave unanswered and execute late. */
   readonly lateShare: number;
-  /** Time until an order that is left unanswered counts as such, ms. */
+  /** Time until an unanswered order fails, ms. */
   readonly replyTimeoutMs?: number;
-  /** Steps after which demand shifts; never where left out. */
+  /** Steps between demand shifts; no shifts if omitted. */
   readonly shiftSteps?: number;
-  /** Time that the agent of a rank takes for an order, ms. */
+  /** Time that the agent of a rank takes to execute an order, ms. */
   readonly orderMs?: (rank: number, nowMs: number) => number;
-  /** Bytes a ms that the link of an agent carries each way; no bound where left out. */
+  /** Bandwidth of an agent's link in each direction, bytes per ms; unlimited if omitted. */
   readonly linkBytesPerMs?: number;
-  /** Time of an agent's processor that it takes to send a call, ms. */
+  /** CPU time an agent takes to send a call, ms. */
   readonly callMs?: number;
-  /** Bytes that a whole map takes on a link, as that of a larger model would; its own where left out. */
+  /** Size of a complete map on a link, to simulate a larger model; its actual size if omitted. */
   readonly mapBytes?: number;
-  /** Whether an agent coordinates only once nobody has looked at it for long; else each does from the start. */
+  /**
+   * Whether agents elect a coordinator by takeover timeout; otherwise all of them coordinate from
+   * the start.
+   */
   readonly usesElection: boolean;
 }
 
-/** A group under way. */
+/** A running simulation. */
 export interface CoordinatorSimulation {
   readonly time: VirtualTime;
   readonly group: RankGroup;
   readonly metrics: Metrics;
-  /** Agents that answer nothing and do nothing. */
+  /** Ranks whose agents are frozen: they send and answer nothing. */
   readonly frozen: Set<number>;
   readonly orders: RankOrder[];
-  /** Ranks whose agents coordinate now. */
+  /** Ranks whose agents currently coordinate. */
   coordinating(): number[];
 }
 
@@ -83,7 +89,7 @@
   const frozen = new Set<number>();
   const orders: RankOrder[] = [];
   const metrics = new Metrics();
-  /** The calls of a frozen agent to its engine stand still with it. */
+  /** While an agent is frozen, its calls to its engine are frozen too. */
   const frozenCalls = (rank: number): EngineCalls => {
     const calls = group.calls(rank);
     const waitWhileFrozen = async (): Promise<void> => {
@@ -114,9 +120,11 @@
       () => rank,
     );
   const gates = addresses.map((_, rank) => makeGate(rank, `own-${rank}`, true));
-  /** Calls between agents; neither a frozen caller nor a frozen callee gets anywhere. */
+  /** Network links of the agents, by rank. */
   const links = addresses.map(() => new AgentLink(time, options));
-  /** A message from one agent to another and its answer; an agent that is frozen gets nowhere and answers nothing. */
+  /**
+   * Exchanges a message and its reply between two agents; a frozen agent neither sends nor answers.
+   */
   const exchange = async <T>(
     from: number,
     to: number,
@@ -126,7 +134,7 @@
   ): Promise<T> => {
     const timeout = time
       .sleep(timeoutMs)
-      .then(() => Promise.reject(new Error('no answer in time')));
+      .then(() => Promise.reject(new Error('timed out waiting for a reply')));
     timeout.catch(() => undefined);
     const exchanged = async (): Promise<T> => {
       await time.sleep(2);
--- a/test/group/coordinator-task.test.ts
+++ b/test/group/coordinator-task.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { startCoordinators, type CoordinatorSimulation } from './coordinator-simulation.js';
 
-/** A coordinator on each of the first agents of a small group. */
+/** Starts a coordinator on each of the first agents of a small group. */
 function start(seed: number, coordinators: number): CoordinatorSimulation {
   return startCoordinators({
     seed,
@@ -15,7 +15,7 @@
   });
 }
 
-test('a skewed group gets new maps, and its steps never wait', async () => {
+test('a skewed group gets new maps without delaying its steps', async () => {
   const simulation = start(1, 1);
   await simulation.time.playUntil(20_000);
   assert.ok(simulation.metrics.value('switch_rounds_total', { end: 'switched' }) >= 1);
@@ -27,10 +27,10 @@
   );
 });
 
-test('an agent that freezes while its rank holds the group is acted for within 1.5 s', async () => {
+test('a group held by a frozen agent is released within 1.5 s', async () => {
   for (let seed = 1; seed <= 20; seed += 1) {
     const simulation = start(seed, 1);
-    // Freeze a rank's agent the moment an arm order is on its way.
+    // Freeze a rank's agent while an arm order is in transit.
     while (!simulation.orders.some((order) => order.kind === 'arm'))
       await simulation.time.playUntil(simulation.time.nowMs() + 1);
     await simulation.time.playUntil(simulation.time.nowMs() + seed);
@@ -41,7 +41,7 @@
       `seed ${seed}: ${simulation.group.longestHoldMs} ms`,
     );
     assert.deepEqual(simulation.group.mixed, [], `seed ${seed}`);
-    // What it does when it wakes no longer counts.
+    // What the agent does after it resumes must have no effect.
     simulation.frozen.clear();
     const { step } = simulation.group;
     await simulation.time.playUntil(simulation.time.nowMs() + 5000);
@@ -53,7 +53,7 @@
   }
 });
 
-test('a coordinator that freezes in a switch leaves no step waiting for long', async () => {
+test('a coordinator that freezes during a switch delays each step by less than 2 s', async () => {
   for (let seed = 1; seed <= 20; seed += 1) {
     const simulation = start(seed, 2);
     while (!simulation.orders.some((order) => order.kind === 'arm'))
--- a/test/group/fan-out.test.ts
+++ b/test/group/fan-out.test.ts
@@ -8,12 +8,12 @@
 interface Harness {
   readonly fanOut: FanOut;
   readonly members: readonly Member[];
-  readonly silent: Set<string>;
-  /** Orders that each agent got, by address. */
+  readonly unresponsive: Set<string>;
+  /** The order that each agent received, by address. */
   readonly received: Map<string, RankOrder>;
-  /** Calls and bytes that the coordinator sent since the last look at them. */
+  /** Calls and bytes sent by the coordinator. */
   sentTotals: { calls: number; bytes: number };
-  /** Agents that passed an order on. */
+  /** Agents chosen as forwarders. */
   readonly forwarders: string[];
   nowMs: number;
 }
@@ -28,7 +28,7 @@
   const self = addressAt(0);
   const rankOf = (address: string): number => members.findIndex((m) => m.address === address);
   const answer = async (address: string, order: RankOrder): ReturnType<CallAgent> => {
-    if (harness.silent.has(address)) throw new Error('silent');
+    if (harness.unresponsive.has(address)) throw new Error('unresponsive');
     harness.received.set(address, order);
     const counts = order.wantsCounts ? countsOf(rankOf(address)) : undefined;
     return rankReply(rankOf(address), { ...(counts && { counted: packCounts(counts) }) });
@@ -45,15 +45,15 @@
         if (address !== self) recordSent(order);
         return answer(address, order);
       },
-      callBranch: async (head, branch) => {
+      callBranch: async (forwarder, branch) => {
         recordSent(branch);
-        harness.forwarders.push(head);
-        if (harness.silent.has(head)) throw new Error('silent');
+        harness.forwarders.push(forwarder);
+        if (harness.unresponsive.has(forwarder)) throw new Error('unresponsive');
         return serveBranch(answer, branch);
       },
     }),
     members,
-    silent: new Set(),
+    unresponsive: new Set(),
     received: new Map(),
     sentTotals: { calls: 0, bytes: 0 },
     forwarders: [],
@@ -64,7 +64,7 @@
 
 const POLL: RankOrder = { group: 'g', kind: 'look', epoch: 0 };
 
-test('a small group is called one by one, a large one by branches; all answer in their order', async () => {
+test('a small group is called directly, a large one through branches; replies keep the order of members', async () => {
   for (const ranks of [1, MAX_DIRECT_CALLS, MAX_DIRECT_CALLS + 1, 63, 129, 400]) {
     const harness = startHarness(ranks);
     const replies = await harness.fanOut.callAll(POLL, harness.members, 250);
@@ -77,8 +77,11 @@
   }
 });
 
-/** Figures before: 128 calls and 279 KB for the same look, sent to each rank; 21 and 32 KB now. */
-test('a look at 129 ranks with its digest costs the coordinator 24 calls and 40 KB at most', async () => {
+/**
+ * Guards against a call to each rank: this poll would take 128 calls and 279 KB; branches take 21
+ * and 32 KB.
+ */
+test('a poll of 129 ranks with the digest costs the coordinator at most 24 calls and 40 KB', async () => {
   const harness = startHarness(129);
   const hosts = harness.members.map(({ address }) => address.split(':')[0] ?? '');
   const digest = groupDigest({ hosts, pace: hosts.map(() => 1), load: hosts.map(() => 3) });
@@ -88,11 +91,11 @@
   assert.ok([...harness.received.values()].every((order) => order.digest?.hosts.length === 129));
 });
 
-test('what stands in the order of one member alone reaches that one alone', async () => {
+test('member-specific fields of an order reach only that member', async () => {
   const harness = startHarness(40);
   const members = harness.members.map((member, i) => ({
     ...member,
-    incarnation: `life-${i}`,
+    incarnation: `incarnation-${i}`,
     wantsCounts: i % 3 === 0,
   }));
   await harness.fanOut.callAll({ ...POLL, kind: 'recheck' }, members, 250);
@@ -103,7 +106,7 @@
   });
 });
 
-test('tokens counted in one branch come as one sum, and none is lost or counted twice', async () => {
+test('token counts of a branch are merged without loss or double counting', async () => {
   const harness = startHarness(30, (rank) => [[rank, 255]]);
   const members = harness.members.map((member) => ({ ...member, wantsCounts: true }));
   const replies = await harness.fanOut.callAll(POLL, members, 250);
@@ -116,28 +119,31 @@
   assert.ok(Math.abs((total[1] ?? 0) - 30 * 255) < 1e-6);
 });
 
-test('behind a silent agent that should pass an order on the others are reached, and another one passes on', async () => {
+test('a branch is reached despite an unresponsive forwarder, which is then replaced', async () => {
   const harness = startHarness(129);
   await harness.fanOut.callAll(POLL, harness.members, 250);
-  const silent = harness.forwarders[0] as string;
-  harness.silent.add(silent);
-  const silentRank = harness.members.findIndex((member) => member.address === silent);
-  const missing = async (): Promise<number[]> => {
+  const failedForwarder = harness.forwarders[0] as string;
+  harness.unresponsive.add(failedForwarder);
+  const failedRank = harness.members.findIndex((member) => member.address === failedForwarder);
+  const missingRanks = async (): Promise<number[]> => {
     harness.forwarders.length = 0;
     const replies = await harness.fanOut.callAll(POLL, harness.members, 250);
     return replies.flatMap((reply, rank) => (reply ? [] : [rank]));
   };
-  assert.deepEqual(await missing(), [silentRank], 'the others are asked straight');
-  assert.ok(harness.forwarders.includes(silent));
-  assert.deepEqual(await missing(), [silentRank]);
-  assert.ok(!harness.forwarders.includes(silent), 'it is not asked to pass on again so soon');
+  assert.deepEqual(await missingRanks(), [failedRank], 'the other members are called directly');
+  assert.ok(harness.forwarders.includes(failedForwarder));
+  assert.deepEqual(await missingRanks(), [failedRank]);
+  assert.ok(
+    !harness.forwarders.includes(failedForwarder),
+    'it is not chosen again during its backoff',
+  );
   harness.nowMs += FORWARDER_BACKOFF_MS;
-  harness.silent.clear();
-  assert.deepEqual(await missing(), []);
-  assert.ok(harness.forwarders.includes(silent));
+  harness.unresponsive.clear();
+  assert.deepEqual(await missingRanks(), []);
+  assert.ok(harness.forwarders.includes(failedForwarder));
 });
 
-test('a branch takes nothing for an order that is none', async () => {
+test('a branch rejects an invalid order', async () => {
   const branch = { members: [], withinMs: 100, order: 'nonsense' };
   await assert.rejects(serveBranch(() => Promise.resolve(rankReply(0)), branch));
   const { deflateRawSync } = await import('node:zlib');
--- a/test/group/group-poller.test.ts
+++ b/test/group/group-poller.test.ts
@@ -13,9 +13,9 @@
 
 interface Group {
   readonly poller: GroupPoller;
-  /** Changes of single ranks' replies. */
+  /** Overrides for the replies of single ranks. */
   readonly changes: Map<number, Partial<RankReply>>;
-  readonly silent: Set<number>;
+  readonly unresponsive: Set<number>;
   polled: RankOrder[];
   nowMs: number;
 }
@@ -31,15 +31,17 @@
       clock: { nowMs: () => group.nowMs, wallMs: () => group.nowMs },
       callAll: (order, members) =>
         Promise.resolve(
-          members.map(({ address, ...own }) => {
+          members.map(({ address, ...memberFields }) => {
             const rank = addresses.indexOf(address);
-            group.polled.push({ ...order, ...own });
-            return group.silent.has(rank) ? undefined : rankReply(rank, group.changes.get(rank));
+            group.polled.push({ ...order, ...memberFields });
+            return group.unresponsive.has(rank)
+              ? undefined
+              : rankReply(rank, group.changes.get(rank));
           }),
         ),
     }),
     changes: new Map(),
-    silent: new Set(),
+    unresponsive: new Set(),
     polled: [],
     nowMs: 0,
   };
@@ -51,7 +53,7 @@
   return group.poller.poll(undefined, [], isSwitching);
 }
 
-test('a sample is spread over the whole list, and is all of a small one', () => {
+test('a sample is spread evenly over the list, and contains all of a short list', () => {
   const addresses = Array.from({ length: 63 }, (_, i) => String(i));
   const sample = sampleEvenly(addresses, 16).map(Number);
   assert.equal(new Set(sample).size, 16);
@@ -60,7 +62,7 @@
   assert.deepEqual(sampleEvenly(['a', 'b'], 16), ['a', 'b']);
 });
 
-test('a small group is asked whole each time, with counts from each rank', async () => {
+test('every poll of a small group asks all ranks for counts', async () => {
   const group = startGroup(12);
   for (let i = 0; i < 2; i += 1) {
     const seen = await poll(group);
@@ -69,7 +71,7 @@
   }
 });
 
-test('a large group is asked whole each time, and some of its ranks for counts', async () => {
+test('every poll of a large group asks all ranks, and only a sample for counts', async () => {
   const group = startGroup(129);
   const first = await poll(group);
   assert.ok(first.kind === 'seen' && first.isWhole);
@@ -83,7 +85,7 @@
   assert.equal(second.replies[1]?.step, 12);
 });
 
-test('a large group hears of itself some times a second, all of its ranks', async () => {
+test('polls of a large group carry the digest to all ranks, but not more often than its interval', async () => {
   const group = startGroup(63);
   const digest = groupDigest();
   const digestsSent = async (): Promise<number> => {
@@ -98,7 +100,7 @@
   assert.equal(await digestsSent(), 63);
 });
 
-test('another map and another forming show at the next look', async () => {
+test('a new map and a re-formed group show in the next poll', async () => {
   for (const change of [{ mapId: '7' }, { groupEpoch: 2 }]) {
     const group = startGroup(63);
     await poll(group);
@@ -110,45 +112,45 @@
   }
 });
 
-test('a silent rank shows at once, whichever it is', async () => {
+test('an unresponsive rank shows in the next poll, whichever rank it is', async () => {
   const group = startGroup(63);
   await poll(group);
   for (const rank of [0, 1, 62]) {
     group.nowMs += 100;
-    group.silent.add(rank);
+    group.unresponsive.add(rank);
     const seen = await poll(group);
     assert.ok(seen.kind === 'unseen');
     assert.equal(seen.replies[rank], undefined);
-    group.silent.clear();
+    group.unresponsive.clear();
     assert.equal((await poll(group)).kind, 'seen');
   }
 });
 
-test('no agent begins to coordinate between two looks that come in time', () => {
+test('the takeover timeout exceeds the time between two timely polls', () => {
   assert.ok(takeoverTimeoutMs(63) > 2 * replyTimeouts(63).pollMs + replyTimeouts(12).pollMs);
   assert.equal(takeoverTimeoutMs(12), 500);
 });
 
-test('while a large group switches, its ranks may be seen in two maps', async () => {
+test('a poll during a switch of a large group may show two maps', async () => {
   const group = startGroup(63);
   await poll(group);
   for (let rank = 0; rank < 30; rank += 1) group.changes.set(rank, { mapId: '7' });
   const seen = await poll(group, true);
   assert.ok(seen.kind === 'seen' && seen.isWhole);
   assert.deepEqual([seen.replies[29]?.mapId, seen.replies[30]?.mapId], ['7', '0']);
-  assert.equal(seen.fresh.length, 63, 'tokens are counted by expert, whatever the map');
+  assert.equal(seen.fresh.length, 63, 'tokens are counted by expert, independent of the map');
 });
 
-test('answers of a large group have more time', () => {
+test('reply timeouts are longer in a large group', () => {
   assert.deepEqual(replyTimeouts(12), replyTimeouts(MAX_DIRECT_CALLS));
   assert.ok(replyTimeouts(63).decisionMs >= 2 * replyTimeouts(12).decisionMs);
 });
 
-test('while a switch is under way whoever answers tells what it runs, in whatever map it is seen', async () => {
+test('during a switch each rank that replies reports its load, whichever map it uses', async () => {
   const group = startGroup(63);
   await poll(group);
   group.nowMs += 100;
-  group.silent.add(0);
+  group.unresponsive.add(0);
   for (let rank = 20; rank < 63; rank += 1) group.changes.set(rank, { mapId: '7', running: 5 });
   const seen = await poll(group, true);
   assert.ok(seen.kind === 'seen' && !seen.isWhole);
@@ -158,8 +160,12 @@
   group.changes.set(3, { groupEpoch: 2 });
   const reformed = await poll(group, true);
   assert.ok(reformed.kind === 'seen');
-  assert.equal(reformed.loadReplies.length, 61, 'a rank of another forming tells nothing');
-  group.silent.clear();
+  assert.equal(
+    reformed.loadReplies.length,
+    61,
+    'the load of a rank with another group epoch does not count',
+  );
+  group.unresponsive.clear();
   group.changes.clear();
   assert.equal((await poll(group)).kind, 'seen');
 });
--- a/test/group/group-view.test.ts
+++ b/test/group/group-view.test.ts
@@ -9,7 +9,7 @@
 const reply = (rank: number, change: Partial<RankReply> = {}): RankReply =>
   rankReply(rank, { placed: [[rank]], ...change });
 
-test('replies are whole only when each rank of one group told once', () => {
+test('replies are complete only if each rank of one group replied once', () => {
   assert.deepEqual(
     sortByRank([reply(1), reply(0)], 2)?.map((r) => r.rank),
     [0, 1],
@@ -20,16 +20,16 @@
   assert.equal(sortByRank([], 0), undefined);
 });
 
-test('a group of which the list names only some ranks yet is not whole, and its map is not taken', () => {
+test('a group of which only some ranks are listed is incomplete', () => {
   const some = [0, 1].map((rank) => reply(rank, { ranks: 3 }));
   assert.equal(sortByRank(some, 2), undefined);
   const all = [0, 1, 2].map((rank) => reply(rank, { ranks: 3 }));
   assert.equal(sortByRank(all, 3)?.length, 3);
-  // An engine that was replaced stands in the list beside its successor for a while.
+  // A replaced engine stays in the list beside its successor for a while.
   assert.equal(sortByRank([...all, undefined], 4)?.length, 3);
 });
 
-test('a map that was put together from fewer ranks is told again', () => {
+test('a map combined from fewer ranks is dropped and reported again', () => {
   const maps = new KnownMaps();
   maps.add('0', [[[0], [1]]]);
   const withoutPlacement = [0, 1, 2].map((rank) => reply(rank, { placed: undefined }));
@@ -38,7 +38,7 @@
   assert.deepEqual(maps.inUse([reply(0), reply(1), reply(2)]), [[[0], [1], [2]]]);
 });
 
-test('the map is put together from the ranks, while they are in the same one', () => {
+test('the map is combined from the ranks only while all use the same one', () => {
   const maps = new KnownMaps();
   assert.deepEqual(placementOf([reply(0), reply(1)]), [[[0], [1]]]);
   assert.equal(placementOf([reply(0), reply(1, { placed: undefined })]), undefined);
@@ -46,7 +46,7 @@
   assert.deepEqual(maps.inUse([reply(0), reply(1)]), [[[0], [1]]]);
 });
 
-test('a map that is held already need not be told again, and old ones are dropped', () => {
+test('a known map need not be reported again, and old maps are evicted', () => {
   const maps = new KnownMaps();
   const withoutPlacement = [0, 1].map((rank) => reply(rank, { mapId: '7', placed: undefined }));
   assert.equal(maps.inUse(withoutPlacement), undefined);
@@ -57,7 +57,7 @@
   assert.equal(maps.inUse(withoutPlacement), undefined);
 });
 
-test('counts of all ranks that tell some are added up', () => {
+test('token counts are summed over the ranks that report them', () => {
   const replies = [
     reply(0, { counted: packCounts([[255, 51]]) }),
     reply(1),
@@ -68,7 +68,7 @@
   assert.equal(sumCounts([reply(0), undefined]), undefined);
 });
 
-test('a digest tells pace and load by host, and the time of a step', () => {
+test('a digest contains pace and load by host, and the step time', () => {
   let nowMs = 0;
   const digestBuilder = new DigestBuilder({ nowMs: () => nowMs, wallMs: () => nowMs });
   const poll = (step: number) => {
@@ -94,7 +94,7 @@
   assert.equal(digestBuilder.build(undefined, [], []).whole, false);
 });
 
-test('what a group runs rests on the ranks of this look, not on what others ran at the last one', () => {
+test('the load of a group is estimated from the ranks of this poll, not from earlier replies', () => {
   const digestBuilder = new DigestBuilder({ nowMs: () => 0, wallMs: () => 0 });
   const previous = Array.from({ length: 6 }, (_, rank) => reply(rank, { running: 1 }));
   const fresh = [reply(0, { running: 5 }), reply(3, { running: 6, queued: 1 })];
@@ -103,7 +103,7 @@
   assert.equal(digestBuilder.build(previous, previous, []).running, 6);
 });
 
-test('the time in which a group had no work is no time of a step', () => {
+test('idle time of a group does not count as step time', () => {
   let nowMs = 0;
   const digestBuilder = new DigestBuilder({ nowMs: () => nowMs, wallMs: () => nowMs });
   const poll = (step: number, running: number): number =>
@@ -115,7 +115,7 @@
   assert.equal(poll(4, 3), 50);
 });
 
-test('the margin follows the slowest orders lately, and forgets them', async () => {
+test('the margin follows the slowest recent orders, and decays', async () => {
   let nowMs = 0;
   const margin = new SwitchMargin({ nowMs: () => nowMs, wallMs: () => nowMs });
   assert.equal(margin.steps(50), 3);
--- a/test/group/large-group.test.ts
+++ b/test/group/large-group.test.ts
@@ -1,21 +1,16 @@
 /**
- * What users saw: on the same large deployment as in shared-places.test no new expert map came into use for 8.5 s after
- * demand had shifted, and all streams of these seconds were late.
- *
- * Order of events: a large configuration came, agents took long to answer, and the round of the coordinator (rank 0)
- * lasted longer than the 1.6 s after which rank 1 takes over. While a round is under way only a sample of the ranks is
- * looked at, and rank 1 is not in it. It began a round of its own with a higher epoch, which ended that of rank 0; rank 0
- * did the same to it, and so on: five rounds `blocked` in a row.
- *
- * Evidence: the lines `group.switch` of ranks 0 and 1, by turns `blocked` by each other's epochs at 17.8, 19.0, 19.4,
- * 21.3 and 22.3 s, maps in use from 14.5 and 23.0 s, a skew of 2.9 between them.
+ * Guards against two coordinators that abort each other's rounds in a large group. With slow
+ * agents, a round of the coordinator (rank 0) lasted longer than the 1.6 s takeover timeout of rank
+ * 1, which was outside the sample of ranks polled during a round. Rank 1 started a round with a
+ * higher epoch, which blocked that of rank 0, and so on: five rounds `blocked` in a row, and no new
+ * map for 8.5 s after a demand shift, at a skew of 2.9.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/core/clock/index.js';
 import { startCoordinators, type CoordinatorSimulation } from './coordinator-simulation.js';
 
-/** Time in which agents are slow, ms. */
+/** Period in which agents are slow, ms. */
 const SLOW = { from: 4000, to: 14_000 };
 
 function start(orderMs: number): CoordinatorSimulation {
@@ -38,14 +33,14 @@
 const takeoverCount = ({ metrics }: CoordinatorSimulation): number =>
   metrics.value('coordinator_changes_total', { to: 'self' });
 
-test('a round that lasts long makes no second coordinator, and maps come on', async () => {
+test('a slow round causes no takeover, and new maps still take effect', async () => {
   const simulation = start(380);
   await simulation.time.playUntil(SLOW.from);
   const before = roundCount(simulation, 'switched');
   await simulation.time.playUntil(SLOW.to);
-  assert.equal(takeoverCount(simulation), 1, 'rank 0 began, nobody took over');
+  assert.equal(takeoverCount(simulation), 1, 'rank 0 started, no other agent took over');
   assert.equal(roundCount(simulation, 'blocked'), 0);
-  // Demand shifts each 3.6 s, and a round lasts 2 s.
+  // Demand shifts every 3.6 s, and a round lasts 2 s.
   assert.ok(
     roundCount(simulation, 'switched') - before >= 3,
     `${roundCount(simulation, 'switched') - before} maps`,
@@ -53,7 +48,7 @@
   assert.deepEqual(simulation.group.mixed, []);
 });
 
-test('when the coordinator of a large group freezes another one takes over, and maps come on', async () => {
+test('when the coordinator of a large group freezes, another takes over and new maps take effect', async () => {
   const simulation = start(0);
   await simulation.time.playUntil(6000);
   assert.deepEqual(simulation.coordinating(), [0]);
@@ -63,21 +58,24 @@
   simulation.frozen.clear();
   const before = roundCount(simulation, 'switched');
   await simulation.time.playUntil(16_000);
-  assert.deepEqual(simulation.coordinating(), [0], 'of two the lower address goes on');
+  assert.deepEqual(
+    simulation.coordinating(),
+    [0],
+    'of two coordinators the one with the lower address continues',
+  );
   assert.ok(roundCount(simulation, 'switched') > before);
   assert.deepEqual(simulation.group.mixed, []);
 });
 
 /**
- * Story: on a deployment of 129 engines in one group (99 entries, 134 endpoints) four new maps came into use in 57 s and
- * steps took twice their time, where a group of 12 had 25 maps; a quarter of the requests was served late, a quarter
- * refused.
- * Evidence: the logs of its coordinator. Rank 0 logs a skew of 3.03 at 1.05 s and answers nobody until after 5.6 s: it makes
- * its plan (round-plan.test); rank 1 takes over at 2.8 s and finds `1 of 129` silent. Behind that stood what the coordinator
- * sends by itself, which this test plays: 129 calls a phase, the digest to each rank (0.28 MB a look), and a map of 22 KB to
- * each rank (2.8 MB, 5.4 s of its link of 4.2 Mbit/s, where a prepare has 5 s). The code before brings 2 maps here.
+ * Guards against a coordinator overloaded by its own messages: one call per rank is 129 calls per
+ * phase, 0.28 MB for each poll with the digest, and 2.8 MB for a map of 22 KB to each rank, which
+ * takes 5.4 s on a link of 4.2 Mbit/s, longer than the 5 s timeout of prepare. A deployment
+ * of 129 engines and 99 entries then got 4 new maps in 57 s at twice the usual step time, a quarter
+ * of its requests was late and a quarter refused; a group of 12 got 25 maps. Direct calls bring
+ * only 2 maps here. Planning also kept the coordinator from replying; round-plan.test covers that.
  */
-test('in a group of 129 ranks on slow links maps come on after each shift of demand', async () => {
+test('in a group of 129 ranks on slow links a new map follows each demand shift', async () => {
   const simulation = startCoordinators({
     seed: 1,
     ranks: 129,
@@ -102,7 +100,7 @@
   assert.deepEqual(simulation.group.mixed, []);
 });
 
-test('agents that stand still while they pass orders on mix no maps, and the group goes on', async () => {
+test('agents that freeze while forwarding orders cause no mixed maps, and switching resumes', async () => {
   for (let seed = 1; seed <= 4; seed += 1) {
     const random = seededRandom(seed);
     const simulation = startCoordinators({
@@ -115,7 +113,7 @@
       shiftSteps: 25,
       usesElection: true,
     });
-    // What a frozen agent was about to pass on is passed on when it wakes, up to 4 s late.
+    // What a frozen agent was about to forward is forwarded when it resumes, up to 4 s late.
     const freeze = (): void => {
       const rank = Math.floor(40 * random());
       simulation.frozen.add(rank);
@@ -127,6 +125,9 @@
     const before = roundCount(simulation, 'switched');
     await simulation.time.playUntil(44_000);
     assert.deepEqual(simulation.group.mixed, [], `seed ${seed}`);
-    assert.ok(roundCount(simulation, 'switched') > before, `seed ${seed}: maps come on afterwards`);
+    assert.ok(
+      roundCount(simulation, 'switched') > before,
+      `seed ${seed}: no new map after the freezes`,
+    );
   }
 });
--- a/test/group/latest-digest.test.ts
+++ b/test/group/latest-digest.test.ts
@@ -6,7 +6,7 @@
 
 const digest = (running: number, ageMs: number): GroupDigest => groupDigest({ running, ageMs });
 
-test('a digest ages while it is held, and an older one does not replace it', () => {
+test('a stored digest ages, and an older one does not replace it', () => {
   let nowMs = 5000;
   const held = new LatestDigest({ nowMs: () => nowMs, wallMs: () => nowMs });
   assert.equal(held.read(), undefined);
--- a/test/group/own-group.test.ts
+++ b/test/group/own-group.test.ts
@@ -11,7 +11,9 @@
 const RANKS = 3;
 const SERVICE = asId<PublishedEndpoint['service']>('llm');
 
-/** Three groups of three behind one service; their engines are dealt out in turn over the addresses. */
+/**
+ * Three groups of three behind one service; engines are assigned to groups round-robin by address.
+ */
 function engineAt(index: number, incarnation = 1): PublishedEndpoint {
   return {
     id: asId<EndpointId>(`e-${index}-${incarnation}`),
@@ -33,7 +35,7 @@
   readonly state: PublishedState;
   readonly group: OwnGroup;
   readonly poller: GroupPoller;
-  readonly silent: Set<number>;
+  readonly unresponsive: Set<number>;
   readonly polled: string[];
 }
 
@@ -45,7 +47,7 @@
   );
   const group = new OwnGroup(state, { host: `10.0.0.${index}`, port: 8228 }, PORT);
   group.recordOwnReply(replyAt(index));
-  const silent = new Set<number>();
+  const unresponsive = new Set<number>();
   const polled: string[] = [];
   const poller = new GroupPoller({
     self: agentAt(index),
@@ -58,14 +60,14 @@
         members.map(({ address }) => {
           polled.push(address);
           const at = Number(/\.(\d+):/.exec(address)?.[1]);
-          return silent.has(at) ? undefined : replyAt(at);
+          return unresponsive.has(at) ? undefined : replyAt(at);
         }),
       ),
   });
-  return { state, group, poller, silent, polled };
+  return { state, group, poller, unresponsive, polled };
 }
 
-test('of several groups behind one service a coordinator sees its own, and asks the others once', async () => {
+test('a coordinator polls agents of other groups of its service only once', async () => {
   const agent = startAgent(1);
   const seen = await agent.poller.poll(undefined, [], false);
   assert.equal(agent.polled.length, 9);
@@ -76,15 +78,15 @@
   assert.deepEqual(agent.polled, [1, 4, 7].map(agentAt));
 });
 
-test('a silent agent of another group keeps nobody from seeing its own', async () => {
+test('an unresponsive agent of another group does not make the own group incomplete', async () => {
   const agent = startAgent(1);
-  agent.silent.add(2);
+  agent.unresponsive.add(2);
   assert.equal((await agent.poller.poll(undefined, [], false)).kind, 'seen');
-  agent.silent.add(4);
+  agent.unresponsive.add(4);
   assert.equal((await agent.poller.poll(undefined, [], false)).kind, 'unseen');
 });
 
-test('members are learnt from the digest of the own coordinator as well', () => {
+test('the digest of the own coordinator also identifies members', () => {
   const { group } = startAgent(4);
   const hosts = ['10.0.0.1', '10.0.0.4', '10.0.0.7'];
   const digest = groupDigest({ group: 'g1', hosts });
@@ -93,7 +95,7 @@
   assert.deepEqual(group.agents(), [1, 4, 7].map(agentAt));
 });
 
-test('members that are not listed for a moment are asked all the same, the own engine included', () => {
+test('members that are temporarily not listed are still polled, including the own engine', () => {
   const { group, state } = startAgent(4);
   const hosts = ['10.0.0.1', '10.0.0.4', '10.0.0.7'];
   group.agents();
@@ -106,7 +108,7 @@
   for (const index of [1, 4, 7]) assert.ok(group.agents().includes(agentAt(index)));
 });
 
-test('an engine that was replaced is looked for anew among those whose group is unknown', async () => {
+test('the successor of a replaced engine is found among those whose group is unknown', async () => {
   const agent = startAgent(1);
   await agent.poller.poll(undefined, [], false);
   const listed = Array.from({ length: 9 }, (_, i) => engineAt(i, i === 4 ? 2 : 1));
--- a/test/group/round-policy.test.ts
+++ b/test/group/round-policy.test.ts
@@ -5,7 +5,7 @@
 import { minGainPerCopy, maxNewPerRound } from '../../src/group/round-policy.js';
 import { ENGINE } from '../fixtures/engine.js';
 
-test('a round copies what its time allows, one expert a rank at least', () => {
+test('a round copies what its time budget allows, at least one expert per rank', () => {
   assert.equal(maxNewPerRound(ENGINE), 1);
   assert.equal(maxNewPerRound({ ...ENGINE, copyMs: 14 }), 11);
   assert.equal(maxNewPerRound({ ...ENGINE, copyMs: 76 }), 2);
@@ -13,19 +13,19 @@
   assert.equal(maxNewPerRound({ ...ENGINE, copyMs: 0 }), 12);
 });
 
-test('a copy must bring more where experts are large, and less where many streams gain by it', () => {
+test('the minimum gain of a copy rises with expert size and falls with the number of streams', () => {
   const usual = minGainPerCopy(ENGINE, 48);
   assert.ok(usual > 0.005 && usual < 0.008, `${usual}`);
   assert.ok(minGainPerCopy({ ...ENGINE, expertGb: 0.32 }, 96) < usual / 10);
   assert.equal(minGainPerCopy(ENGINE, 0), minGainPerCopy(ENGINE, 12), 'an idle group');
 });
 
-test('only a large group that knows all its members waits longer for the next change', () => {
+test('only a large, complete group pauses longer after a list change', () => {
   assert.equal(changePauseMs(12, true), changePauseMs(63, false));
   assert.ok(changePauseMs(63, true) > changePauseMs(63, false));
 });
 
-test('entries count while they ask, and no longer', () => {
+test('an entry stops counting as active after its last request expires', () => {
   const activeEntries = new ActiveEntries();
   activeEntries.record('e-1', 0);
   activeEntries.record('e-2', 1000);
--- a/test/group/switch-races.test.ts
+++ b/test/group/switch-races.test.ts
@@ -4,9 +4,9 @@
 
 const FAULT_CASES: readonly (readonly [string, Faults])[] = [
   ['two coordinators', { ...NO_FAULTS, coordinators: 2 }],
-  ['a group formed anew', { ...NO_FAULTS, reformsGroup: true, lateShare: 0.2 }],
+  ['re-formed groups', { ...NO_FAULTS, reformsGroup: true, lateShare: 0.2 }],
   [
-    'all of it',
+    'all faults combined',
     {
       ...NO_FAULTS,
       lateShare: 0.3,
@@ -17,16 +17,16 @@
     },
   ],
   [
-    'kills of all agents, with two coordinators',
+    'simultaneous kills of all agents with two coordinators',
     { ...NO_FAULTS, killsAllAgents: true, coordinators: 2 },
   ],
 ];
 
-for (const [what, trouble] of FAULT_CASES)
-  test(`under ${what} no step begins with two maps, and the group goes on afterwards`, () =>
-    assertRecovers(trouble));
+for (const [what, faults] of FAULT_CASES)
+  test(`under ${what} no step starts with mixed maps, and the group recovers`, () =>
+    assertRecovers(faults));
 
-test('without fences late orders do mix maps, so the stand-in can show it', async () => {
+test('without fences late orders mix maps, so the fake engines can detect it', async () => {
   const faults: Faults = {
     ...NO_FAULTS,
     lateShare: 0.4,
--- a/test/group/switch-simulation.ts
+++ b/test/group/switch-simulation.ts
@@ -1,4 +1,4 @@
-/** Plays a group whose coordinators switch maps while things go wrong; in time of its own. */
+/** Simulates a group whose coordinators switch maps under injected faults, in virtual time. */
 import assert from 'node:assert/strict';
 import { RankGroup, VirtualTime, type RankGroupOptions } from '../../fakes/rank-engine/index.js';
 import { seededRandom } from '../../src/core/clock/index.js';
@@ -13,14 +13,14 @@
 import { asId } from '../../src/core/ids/index.js';
 import { createSwitchEngine } from '../../src/group/switch-engine.js';
 
-/** What goes wrong while switches are made. */
+/** Faults injected while maps are switched. */
 export interface Faults {
   readonly lateShare: number;
-  /** Share of calls between daemons that are lost, on the way there or back. */
+  /** Fraction of calls between agents whose request or reply is lost. */
   readonly lostShare: number;
   readonly restartsAgents: boolean;
   readonly reformsGroup: boolean;
-  /** Whether all agents are killed at once now and then, so that nobody remembers any promise. */
+  /** Whether all agents are killed at once from time to time, so that no promise is remembered. */
   readonly killsAllAgents: boolean;
   readonly coordinators: number;
 }
@@ -34,7 +34,7 @@
   coordinators: 1,
 };
 const FAULT_PHASE_MS = 30_000;
-/** Orders are carried out 12 s late at most. */
+/** Orders are executed at most 12 s late. */
 const RECOVERY_PHASE_MS = 24_000;
 const RANKS = 3;
 
@@ -44,7 +44,7 @@
   readonly stepsAfter: number;
 }
 
-/** Plays one seed: trouble for half a minute, then none; coordinators go on all the while. */
+/** Simulates one seed: 30 s with faults, then 24 s without; coordinators run throughout. */
 export async function simulate(
   seed: number,
   faults: Faults,
@@ -71,24 +71,24 @@
       pause: time.sleep,
       isLocal: true,
     };
-    return new RankGate(asId(`life-${gateCount}`), createSwitchEngine(deps), () => rank);
+    return new RankGate(asId(`incarnation-${gateCount}`), createSwitchEngine(deps), () => rank);
   };
   const gates = Array.from({ length: RANKS }, (_, rank) => makeGate(rank));
   const isLost = (): boolean => inFaultPhase() && random() < faults.lostShare;
   const call = async (rank: number, order: RankOrder): Promise<RankReply> => {
     const killsAtSend = kills;
     await time.sleep(1 + random() * 4);
-    if (isLost()) throw new Error('lost on the way');
-    // What a killed coordinator sent and nobody has read dies with its connections.
+    if (isLost()) throw new Error('request lost');
+    // A request of a killed coordinator that has not been read is lost with its connection.
     if (killsAtSend !== kills) throw new Error('the process was killed');
     const reply = await (gates[rank] as RankGate).serve(order);
-    if (isLost()) throw new Error('lost on the way back');
+    if (isLost()) throw new Error('reply lost');
     return reply;
   };
   let switched = 0;
   let kills = 0;
   const coordinate = async (coordinator: number): Promise<void> => {
-    let highest = 0;
+    let highestEpoch = 0;
     const killsAtStart = kills;
     for (;;) {
       await time.sleep(50 + random() * 200);
@@ -102,10 +102,13 @@
           wantsCounts: false,
           marginSteps: () => 3,
         },
-        nextEpoch(highest, coordinator),
+        nextEpoch(highestEpoch, coordinator),
         (view) => ({ id: String(view.epoch), layers: [[[0], [1], [2, killsAtStart]]] }),
       );
-      highest = Math.max(nextEpoch(highest, coordinator), end.kind === 'blocked' ? end.highest : 0);
+      highestEpoch = Math.max(
+        nextEpoch(highestEpoch, coordinator),
+        end.kind === 'blocked' ? end.highest : 0,
+      );
       if (end.kind === 'switched') switched += 1;
     }
   };
@@ -133,16 +136,22 @@
   return { group, switched, stepsAfter: group.step - before };
 }
 
-/** Seeds that each kind of trouble is played with. */
+/** Number of seeds simulated for each kind of fault. */
 const SEEDS = 25;
-/** Least steps after the trouble: at 40 ms a step 12 s hold 300, and each switch may cost a step or two. */
+/**
+ * Minimum number of steps after the faults: 12 s hold 300 steps of 40 ms, and each switch may cost
+ * one or two.
+ */
 const MIN_STEPS_AFTER = 180;
 
-/** Plays a kind of trouble with many seeds: no step begins with two maps, and the group goes on afterwards. */
+/**
+ * Asserts for many seeds that no step starts with mixed maps and that the group continues after the
+ * faults.
+ */
 export async function assertRecovers(faults: Faults): Promise<void> {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const { group, stepsAfter } = await simulate(seed, faults);
     assert.deepEqual(group.mixed, [], `seed ${seed}`);
-    assert.ok(stepsAfter > MIN_STEPS_AFTER, `seed ${seed}: ${stepsAfter} steps after the trouble`);
+    assert.ok(stepsAfter > MIN_STEPS_AFTER, `seed ${seed}: ${stepsAfter} steps after the faults`);
   }
 }
