--- a/src/agent/endpoint.ts
+++ b/src/agent/endpoint.ts
@@ -1,29 +1,34 @@
-/** The agent's connection to its model engine. */
+/** Connection of an agent to its model endpoint. */
 import type { KeptConnections } from '../runtime/index.js';
 
-/** What the agent asks of its engine. */
+/** Calls from an agent to its endpoint. */
 export interface Endpoint {
-  /** GET of a JSON document: a rank's state. */
+  /** Reads a JSON document such as the rank's state with GET. */
   read(path: string): Promise<unknown>;
-  /** POST of an order; the answer's status and JSON. */
+  /** Sends an order with POST; returns the response's status and JSON. */
   order(path: string, body: object): Promise<{ status: number; data: unknown }>;
 }
 
-/** Time that an engine may take for an answer, ms. */
-const ANSWER_MS = 2000;
+/** Timeout of a response, ms. */
+const RESPONSE_TIMEOUT_MS = 2000;
 
 /**
- * Connects to an engine.
+ * Creates the connection to an endpoint.
  * @example await connectEndpoint(connections, 'http://10.1.0.4:8000').read('/state');
  */
 export function connectEndpoint(connections: KeptConnections, origin: string): Endpoint {
-  const short = { origin, headersTimeout: ANSWER_MS, bodyTimeout: ANSWER_MS };
+  const baseRequest = {
+    origin,
+    headersTimeout: RESPONSE_TIMEOUT_MS,
+    bodyTimeout: RESPONSE_TIMEOUT_MS,
+  };
   return {
-    read: (path) => connections.call({ ...short, path, method: 'GET' }, (res) => res.body.json()),
+    read: (path) =>
+      connections.call({ ...baseRequest, path, method: 'GET' }, (res) => res.body.json()),
     order: (path, body) =>
       connections.call(
         {
-          ...short,
+          ...baseRequest,
           path,
           method: 'POST',
           headers: { 'content-type': 'application/json' },
--- a/src/agent/rank.ts
+++ b/src/agent/rank.ts
@@ -1,4 +1,7 @@
-/** The agent's part in its group's map switch, as a rank and, when it is first in line, as coordinator. */
+/**
+ * Participates in map switches of the group, as a rank and, if no lower rank is alive, as
+ * coordinator.
+ */
 import { sleep } from '../core/clock/index.js';
 import { errorText } from '../core/errors/index.js';
 import {
@@ -27,30 +30,31 @@
   run(signal: AbortSignal): Promise<void>;
 }
 
-/** Time one order may take, ms; loading experts is the longest part. */
-const ORDER_MS = 10_000;
-const HELLO_MS = 500;
-const NOT_FOUND = 404;
+/** Timeout of one order, ms; loading experts takes longest. */
+const ORDER_TIMEOUT_MS = 10_000;
+const HELLO_TIMEOUT_MS = 500;
+const HTTP_NOT_FOUND = 404;
 
-/** The endpoint's order interface, behind the gate. */
-function engineOf(endpoint: Endpoint, checksFences: boolean): RankEngine {
+/** Adapts the endpoint's order interface to the gate. */
+function createRankEngine(endpoint: Endpoint, checksFences: boolean): RankEngine {
   return {
     read: async ({ counts }) =>
       (await endpoint.read(counts ? '/state?counts=take' : '/state')) as EngineState & {
         counts?: number[][];
       },
     order: async (order) => {
-      // An engine that checks no fences keeps none either.
+      // An engine that does not check fences does not store them either.
       if (order.kind === 'fence' && !checksFences) return 'done';
       const { status } = await endpoint.order('/orders', order);
-      if (status === NOT_FOUND) throw new Error('the endpoint takes no orders');
+      if (status === HTTP_NOT_FOUND)
+        throw new Error('endpoint answered 404 to POST /orders: it does not support map switches');
       return status === 200 ? 'done' : 'refused';
     },
   };
 }
 
 /**
- * Starts the rank's part of an agent.
+ * Starts the rank of an agent.
  * @example const rank = startRank(ctx, endpoint, settings); void rank.run(signal);
  */
 export function startRank(
@@ -58,22 +62,22 @@
   endpoint: Endpoint,
   settings: { id: string; checksFences?: boolean },
 ): Rank {
-  const groupOf = (): GroupConfig | undefined =>
+  const ownGroup = (): GroupConfig | undefined =>
     ctx.store.config?.body.groups.find((g) => g.endpoints.includes(settings.id));
-  const rankIndex = (): number => groupOf()?.endpoints.indexOf(settings.id) ?? 0;
+  const rankIndex = (): number => ownGroup()?.endpoints.indexOf(settings.id) ?? 0;
   const gate = new RankGate(
     ctx.incarnation,
-    engineOf(endpoint, settings.checksFences ?? true),
+    createRankEngine(endpoint, settings.checksFences ?? true),
     rankIndex,
   );
-  let highest = 0;
-  let known: ExpertMap | undefined;
-  let last: SwitchEnd | undefined;
-  let round: { shape: string; placement: PlacementRound } | undefined;
+  let highestEpoch = 0;
+  let knownMap: ExpertMap | undefined;
+  let lastSwitch: SwitchEnd | undefined;
+  let placementRound: { configJson: string; placement: PlacementRound } | undefined;
 
   const pauseMs = (): number => {
     const { groupMs } = ctx.settings.timing;
-    const group = groupOf();
+    const group = ownGroup();
     return group ? roundPauseMs({ ...group, ranks: group.endpoints.length }, groupMs) : groupMs;
   };
 
@@ -81,20 +85,24 @@
     const target = group.endpoints[rank] ?? '';
     if (target === settings.id) return gate.serve(order);
     const address = ctx.view().agentByEndpoint.get(target)?.address;
-    if (!address) throw new Error(`the list names no agent of ${target}`);
-    return ctx.peers.at(address).rank.mutate(order, { signal: AbortSignal.timeout(ORDER_MS) });
+    if (!address) throw new Error(`no agent is listed for endpoint ${target}`);
+    return ctx.peers
+      .at(address)
+      .rank.mutate(order, { signal: AbortSignal.timeout(ORDER_TIMEOUT_MS) });
   }
 
-  /** Whether a rank before this one answers; it then coordinates. Only a hint: two may, safely. */
-  async function earlierRankLives(group: GroupConfig): Promise<boolean> {
-    const earlier = group.endpoints.slice(0, rankIndex());
-    for (const endpointId of earlier) {
+  /**
+   * Whether a lower rank responds, which then coordinates. Only a hint: two coordinators are safe.
+   */
+  async function hasLiveLowerRank(group: GroupConfig): Promise<boolean> {
+    const lowerRanks = group.endpoints.slice(0, rankIndex());
+    for (const endpointId of lowerRanks) {
       const address = ctx.view().agentByEndpoint.get(endpointId)?.address;
       if (!address) continue;
       try {
         const hello = await ctx.peers
           .at(address)
-          .hello.query(undefined, { signal: AbortSignal.timeout(HELLO_MS) });
+          .hello.query(undefined, { signal: AbortSignal.timeout(HELLO_TIMEOUT_MS) });
         if (!hello.leaving) return true;
       } catch {
         ctx.metrics.count('rank_hello_failures_total');
@@ -104,50 +112,52 @@
   }
 
   async function coordinate(group: GroupConfig): Promise<void> {
-    // A new document that leaves the group as it was keeps what was learnt of its popularity.
-    const shape = JSON.stringify(group);
-    if (round?.shape !== shape) round = { shape, placement: new PlacementRound(ctx, group) };
-    const c: Coordination = {
+    // A new document that does not change the group keeps its popularity estimate.
+    const configJson = JSON.stringify(group);
+    if (placementRound?.configJson !== configJson)
+      placementRound = { configJson: configJson, placement: new PlacementRound(ctx, group) };
+    const coordination: Coordination = {
       group: group.id,
       ranks: group.endpoints.length,
       callRanks: callEachRank((rank, order) => callRank(group, rank, order)),
-      known,
+      known: knownMap,
       wantsCounts: true,
       marginSteps: () => ARM_MARGIN_STEPS,
     };
-    const epoch = nextEpoch(Math.max(highest, gate.epoch), rankIndex());
-    const { chooseMap } = round.placement;
-    last = await runSwitch(c, epoch, (view) => {
-      known = view.map;
-      // A pause before the choice makes the promises old news: the next round takes new ones.
+    const epoch = nextEpoch(Math.max(highestEpoch, gate.epoch), rankIndex());
+    const { chooseMap } = placementRound.placement;
+    lastSwitch = await runSwitch(coordination, epoch, (view) => {
+      knownMap = view.map;
+      // If the process was suspended before the choice, its promises are stale: the next round gets
+      // new ones.
       return ctx.pause.lateMs() > 0 ? undefined : chooseMap(view);
     });
-    highest = last.kind === 'blocked' ? Math.max(epoch, last.highest) : epoch;
-    ctx.metrics.count('switch_rounds_total', { end: last.kind });
-    if (last.kind !== 'kept')
+    highestEpoch = lastSwitch.kind === 'blocked' ? Math.max(epoch, lastSwitch.highest) : epoch;
+    ctx.metrics.count('switch_rounds_total', { end: lastSwitch.kind });
+    if (lastSwitch.kind !== 'kept')
       ctx.log.info('switch.round', {
         group: group.id,
         epoch,
-        end: last.kind,
-        detail: 'detail' in last ? last.detail : undefined,
+        end: lastSwitch.kind,
+        detail: 'detail' in lastSwitch ? lastSwitch.detail : undefined,
       });
   }
 
   return {
     serve: (order) => gate.serve(order),
     status: () => ({
-      group: groupOf()?.id,
+      group: ownGroup()?.id,
       rank: rankIndex(),
       promised: gate.epoch,
-      lastRound: last,
+      lastRound: lastSwitch,
     }),
     run: async (signal) => {
       while (!signal.aborted) {
         await sleep(pauseMs() * (0.75 + ctx.random() / 2), signal);
-        const group = groupOf();
+        const group = ownGroup();
         if (!group || signal.aborted) continue;
         try {
-          if (!(await earlierRankLives(group))) await coordinate(group);
+          if (!(await hasLiveLowerRank(group))) await coordinate(group);
         } catch (err) {
           ctx.metrics.count('switch_rounds_total', { end: 'failed' });
           ctx.log.warn('switch.failed', { group: group.id, err: errorText(err) });
--- a/src/group/switch-rounds.ts
+++ b/src/group/switch-rounds.ts
@@ -1,4 +1,4 @@
-/** Switch rounds of one coordinator: their epochs, their orders, and the margin before a switch. */
+/** Runs the switch rounds of one coordinator: epochs, orders, and the margin before a switch. */
 import type { Clock } from '../core/clock/index.js';
 import {
   nextEpoch,
@@ -11,78 +11,85 @@
   type SwitchEnd,
 } from '../core/groups/index.js';
 import type { Metrics } from '../core/metrics/index.js';
-import { answerTimes, PREPARE_ORDER_MS } from './consts.js';
+import { replyTimeouts, PREPARE_TIMEOUT_MS } from './consts.js';
 import type { Replies } from './fan-out.js';
-import type { CallAgents } from './group-looks.js';
+import type { CallAgents } from './group-poller.js';
 import type { GroupReplies } from './group-view.js';
 import { RoundTimes } from './round-times.js';
 import { SwitchMargin } from './switch-margin.js';
 
-/** What rounds need. */
-export interface RoundParts {
+/** Dependencies of switch rounds. */
+export interface SwitchRoundsDeps {
   readonly self: string;
   readonly callAll: CallAgents;
-  /** Acts for the agent at an address, straight on its engine; used only while that agent is silent. */
-  readonly standIn: (address: string, order: RankOrder) => Promise<RankReply>;
+  /**
+   * Sends an order directly to the engine beside an agent; used only while that agent is
+   * unresponsive.
+   */
+  readonly callEngineDirectly: (address: string, order: RankOrder) => Promise<RankReply>;
   readonly clock: Clock;
   readonly metrics: Metrics;
 }
 
-/** What a round may know besides its ranks. */
-export interface RoundExtras {
-  /** Agents that do not answer, by address. */
+/** Optional inputs of a round. */
+export interface SwitchRoundOptions {
+  /** Addresses of unresponsive agents. */
   readonly silent?: ReadonlySet<string>;
-  /** The map in use, as ranks may hold it. */
+  /** The map in use, which ranks may already hold. */
   readonly base?: ExpertMap;
-  /** Takes the times of its parts. */
+  /** Collects the durations of the round's phases. */
   readonly times?: RoundTimes;
 }
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_AGENTS: ReadonlySet<string> = new Set();
 
-function withinMs({ kind }: RankOrder, ranks: number): number {
-  if (kind === 'prepare') return PREPARE_ORDER_MS;
-  const times = answerTimes(ranks);
+function orderTimeoutMs({ kind }: RankOrder, ranks: number): number {
+  if (kind === 'prepare') return PREPARE_TIMEOUT_MS;
+  const times = replyTimeouts(ranks);
   return kind === 'confirm' || kind === 'abort' ? times.decisionMs : times.orderMs;
 }
 
-/** Makes rounds, one at a time. */
+/** Runs rounds, one at a time. */
 export class SwitchRounds {
   private readonly margin: SwitchMargin;
   private highestEpoch = 0;
 
-  /** @param stepMs time of a step lately, ms; 0 while it is not known */
+  /** @param stepMs recent time per step, ms; 0 while unknown */
   constructor(
-    private readonly parts: RoundParts,
+    private readonly deps: SwitchRoundsDeps,
     private readonly stepMs: () => number,
   ) {
-    this.margin = new SwitchMargin(parts.clock);
+    this.margin = new SwitchMargin(deps.clock);
   }
 
-  /** Fences and versions rise over everything that any rank has seen or holds. */
-  noteEpochs(replies: GroupReplies): void {
+  /** Records epochs, so that fences and versions exceed all that any rank has seen or holds. */
+  recordEpochs(replies: GroupReplies): void {
     for (const { promised, lastConfirmed = 0, armed } of replies)
       this.highestEpoch = Math.max(this.highestEpoch, promised, lastConfirmed, armed?.epoch ?? 0);
   }
 
   /**
-   * Makes one round with an epoch above all that were seen.
-   * @example const end = await rounds.run(byRank, () => undefined); // finishes what is open
+   * Runs one round with an epoch above all recorded ones.
+   * @example const end = await rounds.run(addressByRank, () => undefined); // completes an open switch
    */
   async run(
-    byRank: readonly string[],
+    addressByRank: readonly string[],
     chooseMap: ChooseMap,
-    { silent = NOBODY, base, times = new RoundTimes(this.parts.clock) }: RoundExtras = {},
+    {
+      silent: unresponsive = NO_AGENTS,
+      base,
+      times = new RoundTimes(this.deps.clock),
+    }: SwitchRoundOptions = {},
   ): Promise<SwitchEnd> {
-    const own = byRank.indexOf(this.parts.self);
-    const epoch = nextEpoch(this.highestEpoch, Math.max(0, own));
+    const ownRank = addressByRank.indexOf(this.deps.self);
+    const epoch = nextEpoch(this.highestEpoch, Math.max(0, ownRank));
     const callRanks = (order: RankOrder, ranks: readonly CalledRank[]): Promise<Replies> => {
-      const calls = this.callRanks(order, ranks, byRank, silent);
+      const calls = this.callRanks(order, ranks, addressByRank, unresponsive);
       return times.timed(order.kind, this.margin.timed(order.kind, calls));
     };
     const coordination = {
       group: '',
-      ranks: byRank.length,
+      ranks: addressByRank.length,
       callRanks,
       base,
       known: undefined,
@@ -91,30 +98,34 @@
     };
     const end = await runSwitch(coordination, epoch, chooseMap);
     this.highestEpoch = Math.max(epoch, end.kind === 'blocked' ? end.highest : 0);
-    this.parts.metrics.count('switch_rounds_total', { end: end.kind });
+    this.deps.metrics.count('switch_rounds_total', { end: end.kind });
     return end;
   }
 
-  /** Sends an order of a round; to the engines of silent agents straight. */
+  /** Sends an order of a round; for unresponsive agents, directly to their engines. */
   private async callRanks(
     order: RankOrder,
     ranks: readonly CalledRank[],
-    byRank: readonly string[],
-    silent: ReadonlySet<string>,
+    addressByRank: readonly string[],
+    unresponsive: ReadonlySet<string>,
   ): Promise<Replies> {
     const members = ranks.map(({ rank, incarnation }) => ({
-      address: byRank[rank] ?? '',
+      address: addressByRank[rank] ?? '',
       ...(incarnation !== undefined && { incarnation }),
     }));
-    const heard = members.filter(({ address }) => !silent.has(address));
-    const unheard = members.filter(({ address }) => silent.has(address));
-    const standIns = unheard.map(({ address, ...own }) =>
-      this.parts.standIn(address, { ...order, ...own }).catch(() => undefined),
+    const responsive = members.filter(({ address }) => !unresponsive.has(address));
+    const bypassed = members.filter(({ address }) => unresponsive.has(address));
+    const directCalls = bypassed.map(({ address, ...memberFields }) =>
+      this.deps.callEngineDirectly(address, { ...order, ...memberFields }).catch(() => undefined),
+    );
+    const replies = await this.deps.callAll(
+      order,
+      responsive,
+      orderTimeoutMs(order, addressByRank.length),
     );
-    const replies = await this.parts.callAll(order, heard, withinMs(order, byRank.length));
-    const byAddress = new Map(heard.map(({ address }, i) => [address, replies[i]]));
-    const straight = await Promise.all(standIns);
-    unheard.forEach(({ address }, i) => byAddress.set(address, straight[i]));
+    const byAddress = new Map(responsive.map(({ address }, i) => [address, replies[i]]));
+    const directReplies = await Promise.all(directCalls);
+    bypassed.forEach(({ address }, i) => byAddress.set(address, directReplies[i]));
     return members.map(({ address }) => byAddress.get(address));
   }
 }
