--- a/src/core/membership/instance-view.ts
+++ b/src/core/membership/instance-view.ts
@@ -1,20 +1,20 @@
-/** The list of instances, indexed for those who decide by it. */
+/** The list of instances, indexed for lookups. */
 import type { InstanceList, InstanceRecord } from '../../generated/instances.types.js';
 import { rendezvousOrder } from './rendezvous.js';
 
-/** One listed instance with its address for other daemons. */
+/** A listed instance with its address for other daemons. */
 export type ListedInstance = InstanceRecord & { readonly address: string };
 
-/** An index over one version of the list. */
+/** An index of one version of the list. */
 export interface InstanceView {
   readonly version: number;
   readonly all: readonly ListedInstance[];
   readonly byInstance: ReadonlyMap<string, ListedInstance>;
-  /** Agents by the endpoint that they stand beside. */
+  /** Agents by the endpoint that they run beside. */
   readonly agentByEndpoint: ReadonlyMap<string, ListedInstance>;
-  /** Endpoints that take requests. */
+  /** Endpoints that serve requests. */
   readonly endpoints: readonly ListedInstance[];
-  /** Entries not leaving, the count by which shares are split. */
+  /** Number of entries that are not leaving, by which shares are divided. */
   readonly liveEntries: number;
   readonly relayOrder: ReadonlyMap<string, readonly ListedInstance[]>;
 }
@@ -30,24 +30,24 @@
 };
 
 function orderRelays(all: readonly ListedInstance[]): Map<string, ListedInstance[]> {
-  const byCentre = new Map<string, ListedInstance[]>();
+  const byDataCentre = new Map<string, ListedInstance[]>();
   for (const instance of all) {
     if (instance.state !== 'live' || instance.role === 'endpoint') continue;
-    const members = byCentre.get(instance.dataCentre);
+    const members = byDataCentre.get(instance.dataCentre);
     if (members) members.push(instance);
-    else byCentre.set(instance.dataCentre, [instance]);
+    else byDataCentre.set(instance.dataCentre, [instance]);
   }
-  for (const [centre, members] of byCentre) {
-    byCentre.set(
-      centre,
-      rendezvousOrder(`relay/${centre}`, members, (i) => i.instance),
+  for (const [dataCentre, members] of byDataCentre) {
+    byDataCentre.set(
+      dataCentre,
+      rendezvousOrder(`relay/${dataCentre}`, members, (i) => i.instance),
     );
   }
-  return byCentre;
+  return byDataCentre;
 }
 
 /**
- * Indexes a list.
+ * Builds the index of a list.
  * @example buildInstanceView(list).agentByEndpoint.get('kgl-a-model-1')?.address
  */
 export function buildInstanceView(list: InstanceList): InstanceView {
@@ -65,7 +65,7 @@
 }
 
 /**
- * The daemons of a data centre that watch the platform for the rest of it.
+ * Returns the daemons of a data centre that watch the platform on behalf of the others.
  * @example relaysOf(view, 'kgl-a', 2).map((r) => r.instance)
  */
 export function relaysOf(view: InstanceView, dataCentre: string, count: number): ListedInstance[] {
--- a/src/core/membership/rendezvous.ts
+++ b/src/core/membership/rendezvous.ts
@@ -2,7 +2,7 @@
 import { hash } from 'node:crypto';
 
 /**
- * Weight of one node for one key, 52 bits.
+ * Returns the weight of a node for a key, 52 bits.
  * @example rendezvousWeight('key', 'a') > rendezvousWeight('key', 'b')
  */
 export function rendezvousWeight(key: string, node: string): number {
@@ -10,15 +10,16 @@
 }
 
 /**
- * Items in falling weight for a key; ties, which do not happen in practice, fall by name.
- * @example rendezvousOrder('key', ['a', 'b', 'c'], (n) => n)[0] // the key's home
+ * Sorts items by descending weight for a key; equal weights, which do not occur in practice, are
+ * sorted by name.
+ * @example rendezvousOrder('key', ['a', 'b', 'c'], (n) => n)[0] // the key's owner
  */
 export function rendezvousOrder<T>(
   key: string,
   items: readonly T[],
-  name: (item: T) => string,
+  nameOf: (item: T) => string,
 ): T[] {
-  const weighed = items.map((item) => ({ item, weight: rendezvousWeight(key, name(item)) }));
-  weighed.sort((a, b) => b.weight - a.weight || (name(a.item) < name(b.item) ? -1 : 1));
-  return weighed.map(({ item }) => item);
+  const weighted = items.map((item) => ({ item, weight: rendezvousWeight(key, nameOf(item)) }));
+  weighted.sort((a, b) => b.weight - a.weight || (nameOf(a.item) < nameOf(b.item) ? -1 : 1));
+  return weighted.map(({ item }) => item);
 }
--- a/src/core/published/address.ts
+++ b/src/core/published/address.ts
@@ -1,7 +1,7 @@
-/** Addresses as endpoints publish them. */
+/** Splits `host:port` addresses as endpoints publish them. */
 
 /**
- * The host of a host:port.
+ * Returns the host of a `host:port` address.
  * @example hostOf('10.1.0.43:8228') // '10.1.0.43'
  */
 export function hostOf(address: string): string {
@@ -9,7 +9,7 @@
 }
 
 /**
- * The port of a host:port.
+ * Returns the port of a `host:port` address.
  * @example portOf('10.1.0.43:8228') // 8228
  */
 export function portOf(address: string): number {
--- a/src/core/published/first-read.ts
+++ b/src/core/published/first-read.ts
@@ -1,53 +1,60 @@
 /**
- * What a relay that starts hears from the other relays beside the store: the store may have come back from an older copy just
- * before, and then it does not know what those who ran on still know.
+ * Reads the initial state of a relay from the store and from the other relays. The store may just
+ * have been restored from an older copy and then lacks what running relays still know.
  */
 import type { Result } from '../result/index.js';
-import type { OneRelay } from './one-relay.js';
+import type { RelayClient } from './relay-client.js';
 import type { PublishedRead, ReadFault } from './source.js';
 import type { PublishedEndpoint } from './types.js';
 
-/** What a relay told, and the relay. */
-interface Told {
-  readonly relay: OneRelay;
+/** A relay and what was read from it. */
+interface RelayResult {
+  readonly relay: RelayClient;
   readonly read: PublishedRead;
 }
 
 /**
- * Reads the store and hears the other relays side by side; a newer configuration and endpoints that leave are taken from them.
- * @example await readBeside(() => store.readAll(), otherRelays)
+ * Reads the store and the other relays concurrently. A newer configuration version and leaving
+ * endpoints are taken from the relays.
+ * @example await readStoreAndRelays(() => store.readAll(), otherRelays)
  */
-export async function readBeside(
+export async function readStoreAndRelays(
   readStore: () => Promise<Result<PublishedRead, ReadFault>>,
-  relays: readonly OneRelay[],
+  relays: readonly RelayClient[],
 ): Promise<Result<PublishedRead, ReadFault>> {
-  const heard = Promise.all(relays.map(hear));
+  const pendingResults = Promise.all(relays.map(readRelay));
   const read = await readStore();
-  const told = (await heard).filter((each) => each !== undefined);
+  const results = (await pendingResults).filter((each) => each !== undefined);
   if (read.err) return read;
-  const endpoints = markLeaving(read.val.endpoints, told);
-  return read.map((val) => ({ ...val, endpoints, ...newerConfig(val, told) }));
+  const endpoints = markLeaving(read.val.endpoints, results);
+  return read.map((val) => ({ ...val, endpoints, ...pendingIfNewer(val, results) }));
 }
 
-async function hear(relay: OneRelay): Promise<Told | undefined> {
+async function readRelay(relay: RelayClient): Promise<RelayResult | undefined> {
   const read = await relay.readAll();
-  // Why a relay is of no use is of no matter here: the store has answered.
+  // A relay that cannot be read is ignored: the store has the list.
   return read.ok ? { relay, read: read.val } : undefined;
 }
 
-/** A newer version than the store's is known of: it is read on its own, from who told it. */
-function newerConfig({ config }: PublishedRead, told: readonly Told[]): Partial<PublishedRead> {
+/**
+ * Marks the configuration as pending if a relay announced a newer version than the store's, so that
+ * it is read separately from that relay.
+ */
+function pendingIfNewer(
+  { config }: PublishedRead,
+  results: readonly RelayResult[],
+): Partial<PublishedRead> {
   if (config.kind !== 'read') return {};
   const { version } = config.config;
-  const isNewer = told.some(({ relay }) => (relay.toldVersion ?? 0) > version);
+  const isNewer = results.some(({ relay }) => (relay.announcedVersion ?? 0) > version);
   return isNewer ? { config: { kind: 'pending' } } : {};
 }
 
 function markLeaving(
   listed: readonly PublishedEndpoint[],
-  told: readonly Told[],
+  results: readonly RelayResult[],
 ): PublishedEndpoint[] {
-  const leaving = told
+  const leaving = results
     .flatMap(({ read }) => read.endpoints)
     .filter((endpoint) => endpoint.isLeaving);
   const startedAtMs = new Map(leaving.map((endpoint) => [endpoint.id, endpoint.startedAtMs]));
--- a/src/core/published/follow.ts
+++ b/src/core/published/follow.ts
@@ -1,33 +1,36 @@
-/** Follows the published state: reads it once, then watches for changes, and notes what was learnt and when. */
+/**
+ * Follows the published state: reads it once, watches for changes, and records what was received
+ * and when.
+ */
 import { sleep, type Clock } from '../clock/index.js';
 import type { Log } from '../logging/index.js';
 import type { Metrics } from '../metrics/index.js';
 import type { FollowPace } from './pace.js';
 import type { PublishedState } from './published-state.js';
-import { SourceLog } from './source-log.js';
+import { SourceHealth } from './source-health.js';
 import type { ConfigNews, PublishedSource, ReadFault, ReadTime } from './source.js';
-import { Taker } from './taker.js';
+import { StateUpdater } from './state-updater.js';
 
-/** Factor by which the pause grows from one failure to the next. */
+/** Factor by which the pause grows with each consecutive failure. */
 const PAUSE_GROWTH = 1.5;
-/** Longest pause after a failure, ms: a store that is back has to be seen soon. */
-const LONGEST_PAUSE_MS = 1200;
+/** Longest pause after a failure, ms; bounds how late the recovery of the store is noticed. */
+const MAX_PAUSE_MS = 1200;
 
-/** A store that did not answer for this long has been away, ms. */
-export const AWAY_MS = 1200;
+/** Failures of the store that last at least this long count as an outage, ms. */
+export const OUTAGE_MS = 1200;
 /**
- * Time that entries which lapsed while the store was away have to be written again, ms, counted from the last
- * call that failed: the store came back after that one. An endpoint that leaves just then must get nothing
- * 2 s later, and what is sent last is on its way for a while.
+ * Time for records that expired during an outage to be written again, ms, counted from the last
+ * failed call, after which the store recovered. An endpoint that starts leaving at that time must
+ * receive nothing 2 s later, and the last requests need time to arrive.
  */
-export const RETURN_GRACE_MS = 1900;
+export const OUTAGE_GRACE_MS = 1900;
 /**
- * Time after which an endpoint that is gone no longer stands in the list that an older copy of the store held, ms: its record
- * lapses after three heartbeats of 1.2 s, and the news is on its way for a while.
+ * Time after which a removed endpoint no longer appears in a list restored from an older copy, ms:
+ * its record expires after three heartbeats of 1.2 s, and the update needs time to arrive.
  */
-const COPY_LAPSE_MS = 4500;
+const RESTORED_RECORD_LAPSE_MS = 4500;
 
-/** What following needs. */
+/** Dependencies of `followPublished`. */
 export interface FollowParts {
   readonly source: PublishedSource;
   readonly state: PublishedState;
@@ -36,198 +39,210 @@
   readonly metrics: Metrics;
   readonly random: () => number;
   readonly pace: FollowPace;
-  /** Called whenever something was learnt, also that nothing has changed. */
+  /** Called after each update of the state, including reads without changes. */
   readonly onLearnt?: () => void;
-  /** Whether what is held lacks something that only a whole read can tell; asked before each watch. */
+  /**
+   * Returns whether the state lacks something that only a full read can provide; called before each
+   * watch.
+   */
   readonly isLacking?: () => boolean;
 }
 
 /**
- * How long the next watch may wait, ms: an answer that came early with a change tells of no later time than when
- * it was asked for, so the watch after it has to tell the rest soon.
+ * Returns how long the next watch may wait, ms. A response that arrived early with a change only
+ * confirms the state at the time of the request, so the next watch must return sooner.
  */
-function waitFor(pace: FollowPace, heardAgeMs: number): number {
-  return Math.max(pace.leastWaitMs, Math.floor(pace.waitMs - heardAgeMs));
+function nextWaitMs(pace: FollowPace, lastContactAgoMs: number): number {
+  return Math.max(pace.minWaitMs, Math.floor(pace.waitMs - lastContactAgoMs));
 }
 
 /**
- * Time for which the store surely held a watch that told of no change, ms. It answers such a watch only
- * when the wait is over, so nothing had changed at that time; one that was cut earlier proves less.
+ * Returns the time for which the store certainly held a watch without a change, ms. Only a watch
+ * that lasted its full wait shows that nothing had changed by its end.
  */
-function heldMs(waitMs: number, tookMs: number): number {
+function watchHeldMs(waitMs: number, tookMs: number): number {
   return tookMs >= waitMs ? waitMs : 0;
 }
 
-/** The store as it is read and watched, and as it fails. */
+/** Reads and watches the source, and handles its failures, outages and restores. */
 class Follower {
-  private readonly sourceLog: SourceLog;
-  private readonly taker: Taker;
-  /** Revision from which changes are watched; undefined when everything has to be read. */
+  private readonly sourceHealth: SourceHealth;
+  private readonly stateUpdater: StateUpdater;
+  /** Revision from which changes are watched; undefined when a full read is needed. */
   private revision: number | undefined;
-  /** Whether a newer configuration was told of that has yet to be read. */
+  /** Whether a newer configuration was announced that has not been read yet. */
   private isConfigPending = false;
-  /** Until then endpoints that are missing are kept. */
+  /** Missing endpoints are kept until this time. */
   private graceUntilMs = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly parts: FollowParts,
+    private readonly deps: FollowParts,
     private readonly signal: AbortSignal,
   ) {
-    this.sourceLog = new SourceLog(parts);
-    this.taker = new Taker(parts, this.sourceLog);
+    this.sourceHealth = new SourceHealth(deps);
+    this.stateUpdater = new StateUpdater(deps, this.sourceHealth);
   }
 
   async run(): Promise<void> {
     while (!this.signal.aborted) {
       if (this.isConfigPending) await this.readConfig();
-      if (this.revision === undefined || this.parts.isLacking?.()) await this.readAll();
+      if (this.revision === undefined || this.deps.isLacking?.()) await this.readAll();
       else await this.watch(this.revision);
     }
   }
 
   private async readAll(): Promise<void> {
-    const { clock, source, state } = this.parts;
+    const { clock, source, state } = this.deps;
     const askedAtMs = clock.nowMs();
     const read = await source.readAll();
-    if (read.err) return this.failed(read.val, askedAtMs);
-    const keepsMissing = this.worked(read.val);
-    this.takeConfig(read.val.config, askedAtMs, read.val);
-    this.taker.list(state.offerList(read.val.endpoints, keepsMissing));
-    this.taker.invalid(read.val.invalid);
+    if (read.err) return this.handleFailure(read.val, askedAtMs);
+    const keepsMissing = this.handleSuccess(read.val);
+    this.applyConfig(read.val.config, askedAtMs, read.val);
+    this.stateUpdater.logListChange(state.offerList(read.val.endpoints, keepsMissing));
+    this.stateUpdater.logInvalid(read.val.invalid);
     this.revision = read.val.revision;
-    this.noteLearnt();
-    if (this.parts.isLacking?.() && !this.isConfigPending)
-      await sleep(this.parts.pace.changePauseMs, this.signal);
+    this.noteRefresh();
+    if (this.deps.isLacking?.() && !this.isConfigPending)
+      await sleep(this.deps.pace.changePauseMs, this.signal);
   }
 
   private async watch(from: number): Promise<void> {
-    const { clock, pace, source, state } = this.parts;
+    const { clock, pace, source, state } = this.deps;
     const askedAtMs = clock.nowMs();
-    // After a failure the question is where we stand now, not what comes next.
-    const waitMs = this.sourceLog.failures > 0 ? 0 : waitFor(pace, state.heardAgeMs(askedAtMs));
+    // After a failure, asks for the current state without waiting.
+    const waitMs =
+      this.sourceHealth.failures > 0 ? 0 : nextWaitMs(pace, state.lastContactAgoMs(askedAtMs));
     const watched = await source.watch(from, waitMs);
-    if (watched.err) return this.failed(watched.val, askedAtMs);
-    // In another era the revision that was asked from means something else: what was written before it is not told.
-    if (watched.val.kind === 'forgotten' || this.isOfOtherEra(watched.val)) {
+    if (watched.err) return this.handleFailure(watched.val, askedAtMs);
+    // Revisions of another era are not comparable: changes made before that revision would be
+    // missed.
+    if (watched.val.kind === 'forgotten' || this.isOtherEra(watched.val)) {
       this.revision = undefined;
       return;
     }
     const { config, endpoints, invalid, revision } = watched.val;
-    const keepsMissing = this.worked(watched.val);
-    const isQuiet = config.kind === 'same' && endpoints.length === 0;
-    const heldForMs = isQuiet ? heldMs(waitMs, clock.nowMs() - askedAtMs) : 0;
-    this.takeConfig(config, askedAtMs, { provedAfterMs: heldForMs, ...watched.val });
-    this.taker.list(state.applyChanges(endpoints, keepsMissing));
-    this.taker.invalid(invalid);
+    const keepsMissing = this.handleSuccess(watched.val);
+    const isUnchanged = config.kind === 'same' && endpoints.length === 0;
+    const heldForMs = isUnchanged ? watchHeldMs(waitMs, clock.nowMs() - askedAtMs) : 0;
+    this.applyConfig(config, askedAtMs, { confirmedAfterMs: heldForMs, ...watched.val });
+    this.stateUpdater.logListChange(state.applyChanges(endpoints, keepsMissing));
+    this.stateUpdater.logInvalid(invalid);
     this.revision = revision;
-    this.noteLearnt();
-    // A pending configuration is read first.
-    if (!isQuiet && !this.isConfigPending) await sleep(pace.changePauseMs, this.signal);
+    this.noteRefresh();
+    // A pending configuration is read without a pause.
+    if (!isUnchanged && !this.isConfigPending) await sleep(pace.changePauseMs, this.signal);
   }
 
-  private isOfOtherEra({ era = 0 }: ReadTime): boolean {
-    return era !== this.parts.state.era;
+  private isOtherEra({ era = 0 }: ReadTime): boolean {
+    return era !== this.deps.state.era;
   }
 
-  private takeConfig(news: ConfigNews, askedAtMs: number, time: ReadTime): void {
-    const { provedAfterMs = 0, heardAfterMs = provedAfterMs } = time;
-    if (news.kind !== 'same') this.isConfigPending = news.kind === 'pending';
-    this.parts.state.noteHeard(askedAtMs + heardAfterMs);
-    this.taker.config(news, askedAtMs + provedAfterMs);
+  private applyConfig(update: ConfigNews, askedAtMs: number, time: ReadTime): void {
+    const { confirmedAfterMs: provedAfterMs = 0, contactAfterMs: heardAfterMs = provedAfterMs } =
+      time;
+    if (update.kind !== 'same') this.isConfigPending = update.kind === 'pending';
+    this.deps.state.noteContact(askedAtMs + heardAfterMs);
+    this.stateUpdater.applyConfig(update, askedAtMs + provedAfterMs);
   }
 
   /**
-   * Reads the pending configuration. It is asked for on its own, so that which endpoints leave is known at once and
-   * whatever becomes of it: where the store turned a daemon away, that learnt nothing from relays that were well.
+   * Reads the pending configuration. It is read separately so that leaving endpoints are known at
+   * once even if this read fails: an entry rejected by the store would otherwise learn nothing from
+   * healthy relays.
    */
   private async readConfig(): Promise<void> {
-    const { clock, pace, source } = this.parts;
+    const { clock, pace, source } = this.deps;
     const askedAtMs = clock.nowMs();
     const read = await source.readConfig();
     if (read.err) {
-      this.sourceLog.unread(read.val, askedAtMs);
-    } else if (this.isOfOtherEra(read.val)) {
+      this.sourceHealth.noteConfigUnread(read.val, askedAtMs);
+    } else if (this.isOtherEra(read.val)) {
       this.revision = undefined;
     } else {
-      this.takeConfig(read.val.config, askedAtMs, read.val);
-      this.taker.invalid(read.val.invalid);
-      this.noteLearnt();
+      this.applyConfig(read.val.config, askedAtMs, read.val);
+      this.stateUpdater.logInvalid(read.val.invalid);
+      this.noteRefresh();
     }
     await sleep(pace.changePauseMs, this.signal);
   }
 
-  private noteLearnt(): void {
-    this.sourceLog.heard();
-    this.parts.onLearnt?.();
+  private noteRefresh(): void {
+    this.sourceHealth.noteReceived();
+    this.deps.onLearnt?.();
   }
 
-  private async failed(fault: ReadFault, askedAtMs: number): Promise<void> {
-    const { pace, random } = this.parts;
-    const before = this.sourceLog.failures;
-    this.sourceLog.failed(fault, askedAtMs);
-    // A call without an answer has taken its time, and may be its connection's fault alone: the next one has a new one.
+  private async handleFailure(fault: ReadFault, askedAtMs: number): Promise<void> {
+    const { pace, random } = this.deps;
+    const before = this.sourceHealth.failures;
+    this.sourceHealth.noteFailure(fault, askedAtMs);
+    // A timeout already took its time and may be caused by its connection alone; the retry opens a
+    // new one.
     if (before === 0 && fault.kind === 'timeout') return;
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, pace.failedPauseMs * PAUSE_GROWTH ** before);
+    const pauseMs = Math.min(MAX_PAUSE_MS, pace.failedPauseMs * PAUSE_GROWTH ** before);
     await sleep(pauseMs * (0.8 + 0.4 * random()), this.signal);
   }
 
-  /** Notes a call that worked; whether endpoints that are missing are kept. */
-  private worked({ era = 0 }: ReadTime): boolean {
-    const { clock, state } = this.parts;
-    const awayMs = this.sourceLog.worked();
+  /** Records a successful call; returns whether missing endpoints are kept. */
+  private handleSuccess({ era = 0 }: ReadTime): boolean {
+    const { clock, state } = this.deps;
+    const outageMs = this.sourceHealth.noteSuccess();
     const before = state.era;
-    if (state.enterEra(era, clock.nowMs())) this.restored(before);
-    else if (awayMs >= AWAY_MS) this.keepMissingUntil(this.sourceLog.failedAtMs + RETURN_GRACE_MS);
-    const keepsMissing = this.parts.clock.nowMs() < this.graceUntilMs;
+    if (state.enterEra(era, clock.nowMs())) this.handleRestore(before);
+    else if (outageMs >= OUTAGE_MS)
+      this.keepMissingUntil(this.sourceHealth.lastFailedAtMs + OUTAGE_GRACE_MS);
+    const keepsMissing = this.deps.clock.nowMs() < this.graceUntilMs;
     if (!keepsMissing) this.dropMissing();
     return keepsMissing;
   }
 
-  /** The store has come back from an older copy: what that lacks is missing and not gone, and who is gone may stand in it. */
-  private restored(before: number): void {
-    const { clock, log, metrics, source, state } = this.parts;
+  /**
+   * Handles a store restored from an older copy: endpoints that the copy lacks may still be
+   * running, and endpoints that it lists may be gone.
+   */
+  private handleRestore(before: number): void {
+    const { clock, log, metrics, source, state } = this.deps;
     metrics.count('store_restored_total');
     log.warn('published.restored', {
       source: source.name,
       era: state.era,
       before,
-      heardAgoMs: this.sourceLog.heardAgoMs(),
+      heardAgoMs: this.sourceHealth.receivedAgoMs(),
     });
-    this.keepMissingUntil(clock.nowMs() + RETURN_GRACE_MS);
-    void this.trustListAgain(state.era);
+    this.keepMissingUntil(clock.nowMs() + OUTAGE_GRACE_MS);
+    void this.markListCurrentLater(state.era);
   }
 
-  private async trustListAgain(era: number): Promise<void> {
-    const { state, onLearnt } = this.parts;
-    await sleep(COPY_LAPSE_MS, this.signal);
+  private async markListCurrentLater(era: number): Promise<void> {
+    const { state, onLearnt } = this.deps;
+    await sleep(RESTORED_RECORD_LAPSE_MS, this.signal);
     if (this.signal.aborted || state.era !== era) return;
-    state.trustList();
+    state.markListCurrent();
     onLearnt?.();
   }
 
   private keepMissingUntil(untilMs: number): void {
     this.graceUntilMs = untilMs;
-    void this.endGrace();
+    void this.endGracePeriod();
   }
 
-  private async endGrace(): Promise<void> {
-    const { clock } = this.parts;
+  private async endGracePeriod(): Promise<void> {
+    const { clock } = this.deps;
     await sleep(Math.ceil(Math.max(0, this.graceUntilMs - clock.nowMs())) + 1, this.signal);
-    // While the store is away again nothing can be written to it; the next call that works decides.
-    if (this.sourceLog.failures === 0 && clock.nowMs() >= this.graceUntilMs) this.dropMissing();
+    // During another outage no record can be written again; the next successful call decides.
+    if (this.sourceHealth.failures === 0 && clock.nowMs() >= this.graceUntilMs) this.dropMissing();
   }
 
   private dropMissing(): void {
-    const change = this.parts.state.dropMissing();
-    this.taker.list(change);
-    if (change.gone.length > 0) this.parts.onLearnt?.();
+    const change = this.deps.state.dropMissing();
+    this.stateUpdater.logListChange(change);
+    if (change.gone.length > 0) this.deps.onLearnt?.();
   }
 }
 
 /**
- * Follows everything that is published until the signal aborts.
- * @example void followPublished(parts, signal);
+ * Follows the published state until the signal aborts.
+ * @example void followPublished(deps, signal);
  */
-export function followPublished(parts: FollowParts, signal: AbortSignal): Promise<void> {
-  return new Follower(parts, signal).run();
+export function followPublished(deps: FollowParts, signal: AbortSignal): Promise<void> {
+  return new Follower(deps, signal).run();
 }
--- a/src/core/published/index.ts
+++ b/src/core/published/index.ts
@@ -6,5 +6,5 @@
 export * from './follow.js';
 export * from './pace.js';
 export * from './relay.js';
-export * from './one-relay.js';
+export * from './relay-client.js';
 export * from './relayed-source.js';
--- a/src/core/published/pace.ts
+++ b/src/core/published/pace.ts
@@ -1,62 +1,76 @@
-/** How often daemons ask for what is published, and how that follows from the time within which it must be in force. */
+/**
+ * How often daemons poll the published state, derived from the time within which it must take
+ * effect.
+ */
 
-/** How often the store is called. Each call is counted, a waiting one as one. */
+/**
+ * Timing of the calls to the store. Every call counts against its rate limit, a waiting one as one
+ * call.
+ */
 export interface FollowPace {
   /** Longest wait for a change, ms. */
   readonly waitMs: number;
-  /** Shortest wait, ms: a configuration that cannot be read must not make a call each moment. */
-  readonly leastWaitMs: number;
-  /** Pause after a change before the next watch, ms: changes come in bursts, as when all endpoints start. */
+  /** Shortest wait, ms; keeps an unreadable configuration from causing a tight loop of calls. */
+  readonly minWaitMs: number;
+  /**
+   * Pause after a change before the next watch, ms. Changes come in bursts, for example when all
+   * endpoints start.
+   */
   readonly changePauseMs: number;
-  /** Pause after a call that failed, ms; it grows with each further failure. */
+  /** Pause after a failed call, ms; grows with each consecutive failure. */
   readonly failedPauseMs: number;
 }
 
 /**
- * Time for an answer of the store beyond the time for which it may hold a question, ms. It answers in 4 ms, in trials in up to
- * 0.3 s while it is slow.
+ * Timeout of a store response beyond the time for which the store may hold the request, ms. It
+ * responds in 4 ms, and in up to 0.3 s while it is slow.
  */
 export const STORE_ANSWER_MS = 800;
-/** Room for a busy processor and a new connection within a bound, ms. */
-const SLACK_MS = 200;
+/** Margin for a busy processor and a new connection, ms. */
+const MARGIN_MS = 200;
+/**
+ * Longest wait of an entry, ms. A watch that ends without a change confirms the active
+ * configuration as current, and API keys are accepted for 3.5 s after that: this leaves time for
+ * one failed call.
+ */
+const MAX_ENTRY_WAIT_MS = 2400;
 /**
- * Longest wait of an entry, ms. A wait without a change proves at its end that the configuration in force is still the newest,
- * and keys may be honoured for 3.5 s after such a proof: that leaves time for one failed call.
+ * Lower bound of an entry's wait, ms, because every call to the store counts against its rate
+ * limit.
  */
-const ENTRY_WAIT_MS = 2400;
-/** Shortest wait that an entry's pace may come down to, ms: each call of the store is counted. */
-const LEAST_ENTRY_WAIT_MS = 400;
+const MIN_ENTRY_WAIT_MS = 400;
 
 /**
- * The pace of an entry that is bound again by what is published `contactMs` after its connections fell silent. Its watch, and
- * one whole call after it, are over by then: with waits of 2.4 s whatever the bound, 16 of 48 entries acted on old news past
- * a bound of 3 s (test/soak/silent-fleet).
+ * Returns the pace of an entry that must follow the published state again within `contactMs` after
+ * its connections stall. Its watch and one full call after it fit into that time. With a fixed wait
+ * of 2.4 s, 16 of 48 entries used outdated state beyond a bound of 3 s (test/soak/silent-fleet).
  * @example entryPace(3000).waitMs // 1200
  */
 export function entryPace(contactMs: number): FollowPace {
-  const roomMs = contactMs - 2 * STORE_ANSWER_MS - SLACK_MS;
+  const budgetMs = contactMs - 2 * STORE_ANSWER_MS - MARGIN_MS;
   return {
-    waitMs: Math.max(LEAST_ENTRY_WAIT_MS, Math.min(ENTRY_WAIT_MS, roomMs)),
-    leastWaitMs: 200,
+    waitMs: Math.max(MIN_ENTRY_WAIT_MS, Math.min(MAX_ENTRY_WAIT_MS, budgetMs)),
+    minWaitMs: 200,
     changePauseMs: 600,
     failedPauseMs: 300,
   };
 }
 
 /**
- * The pace of an entry that others hear from. They tell by the age of its proofs that its own way to the store is lost
- * (`STALE_MS`), so that it needs a new one well within that time, also when the store takes 0.24 s to answer.
+ * Pace of an entry that acts as a relay. Other daemons drop it when its last contact with the store
+ * is too old (`RELAY_STALE_MS`), so it must renew that well within the bound, also when the store
+ * takes 0.24 s to respond.
  */
 export const RELAY_PACE: FollowPace = {
   waitMs: 700,
-  leastWaitMs: 100,
+  minWaitMs: 100,
   changePauseMs: 400,
   failedPauseMs: 300,
 };
-/** An agent's pace: it acts on what is published rarely. */
+/** Pace of an agent, which rarely acts on the published state. */
 export const AGENT_PACE: FollowPace = {
   waitMs: 15_000,
-  leastWaitMs: 1000,
+  minWaitMs: 1000,
   changePauseMs: 1000,
   failedPauseMs: 1000,
 };
--- a/src/core/published/published-state.ts
+++ b/src/core/published/published-state.ts
@@ -1,14 +1,14 @@
 /**
- * The published state as one daemon holds it: the newest configuration, how fresh that is proved to
- * be, and the endpoints. Versions never go back, and a process of an endpoint that was seen leaving takes
- * no new work, whatever is read later; a later process may have its id.
+ * The published state as one daemon holds it: the newest configuration, when it was last confirmed
+ * as current, and the endpoints. Versions never decrease. A process that was seen leaving receives
+ * no new requests whatever is read later; a later process may reuse its id.
  */
 import type { EndpointId } from '../ids/index.js';
-import { LeftEndpoints } from './left-endpoints.js';
+import { DepartedEndpoints } from './departed-endpoints.js';
 import type { EndpointChange } from './source.js';
 import type { EndpointProcess, PublishedConfig, PublishedEndpoint, ServiceId } from './types.js';
 
-/** What changed in the list of endpoints. */
+/** Changes of the endpoint list. */
 export interface ListChange {
   readonly joined: readonly PublishedEndpoint[];
   readonly leaving: readonly EndpointId[];
@@ -18,153 +18,164 @@
 const NO_CHANGE: ListChange = { joined: [], leaving: [], gone: [] };
 
 /**
- * Time in which operators and endpoints write again what the store has lost, ms, as its operators state it for endpoints. What is
- * read by then may lack a newer configuration, so it proves nothing: a key that was taken away just before the loss
- * would be honoured for 3.5 s from the first read on, however long the store was away.
+ * Time in which operators and endpoints rewrite what a restored store has lost, ms, as its
+ * operators state it for endpoints. A read within this time may miss a newer configuration and
+ * confirms nothing; otherwise a key revoked just before the loss would be accepted for 3.5 s from
+ * the first read on, however long the outage.
  */
-export const REWRITE_MS = 2000;
+export const REWRITE_WINDOW_MS = 2000;
 
 /** Published state of one daemon. Times are monotonic ms. */
 export class PublishedState {
-  private current: PublishedConfig | undefined;
-  private provedAtMs = Number.NEGATIVE_INFINITY;
-  private heardAtMs = Number.NEGATIVE_INFINITY;
+  private currentConfig: PublishedConfig | undefined;
+  private confirmedAtMs = Number.NEGATIVE_INFINITY;
+  private lastContactAtMs = Number.NEGATIVE_INFINITY;
   private currentEra: number | undefined;
-  /** From then on what is read proves something. */
-  private provesFromMs = Number.NEGATIVE_INFINITY;
+  /** Reads before this time do not confirm the configuration as current. */
+  private confirmableFromMs = Number.NEGATIVE_INFINITY;
   private endpoints = new Map<EndpointId, PublishedEndpoint>();
-  private readonly left = new LeftEndpoints();
-  /** Endpoints that are no longer listed and still kept. */
+  private readonly departed = new DepartedEndpoints();
+  /** Endpoints that are no longer listed but still kept. */
   private readonly missing = new Set<EndpointId>();
 
-  /** The newest configuration; undefined before the first. */
+  /** The newest configuration; undefined before the first one. */
   get config(): PublishedConfig | undefined {
-    return this.current;
+    return this.currentConfig;
   }
 
-  /** Endpoints that may get new work or that still leave. */
+  /** Endpoints that are available or still leaving. */
   get list(): ReadonlyMap<EndpointId, PublishedEndpoint> {
     return this.endpoints;
   }
 
-  /** Age of the proof that the configuration is the newest, ms; infinite without one. */
+  /** Time since the configuration was last confirmed as current, ms; infinite if it never was. */
   proofAgeMs(nowMs: number): number {
-    return nowMs - this.provedAtMs;
+    return nowMs - this.confirmedAtMs;
   }
 
-  /** Time since the store was heard last, by way of relays or not, ms; infinite before the first time. */
-  heardAgeMs(nowMs: number): number {
-    return nowMs - this.heardAtMs;
+  /**
+   * Time since the last contact with the store, direct or through relays, ms; infinite before the
+   * first one.
+   */
+  lastContactAgoMs(nowMs: number): number {
+    return nowMs - this.lastContactAtMs;
   }
 
-  /** Notes that the store was heard at some time after `askedAtMs`, also where that proves nothing. */
-  noteHeard(askedAtMs: number): void {
-    this.heardAtMs = Math.max(this.heardAtMs, askedAtMs);
+  /** Records contact with the store at some time after `askedAtMs`, even if it confirms nothing. */
+  noteContact(askedAtMs: number): void {
+    this.lastContactAtMs = Math.max(this.lastContactAtMs, askedAtMs);
   }
 
-  /** The era of the store in which all this was read; 0 before anything was. */
+  /** Era of the store in which the state was read; 0 before the first read. */
   get era(): number {
     return this.currentEra ?? 0;
   }
 
   /**
-   * Takes the era in which something was read. True where it is another one than before: the store has come back from an
-   * older copy, what it has lost is yet to be written again, and its revisions mean something else than they did.
+   * Records the era of a read; returns true if it changed. The store was then restored from an
+   * older copy: its losses have yet to be rewritten, and its revisions are not comparable with
+   * earlier ones.
    * @example if (state.enterEra(read.era, clock.nowMs())) keepMissing();
    */
   enterEra(era: number, nowMs: number): boolean {
-    const isOther = this.currentEra !== undefined && era !== this.currentEra;
+    const isOtherEra = this.currentEra !== undefined && era !== this.currentEra;
     this.currentEra = era;
-    if (!isOther) return false;
-    this.provesFromMs = nowMs + REWRITE_MS;
-    this.left.distrustList();
+    if (!isOtherEra) return false;
+    this.confirmableFromMs = nowMs + REWRITE_WINDOW_MS;
+    this.departed.markListOutdated();
     return true;
   }
 
-  /** Takes the list for what it says again; to be called when those who are gone can no longer stand in it. */
-  trustList(): void {
-    this.left.trustList();
+  /**
+   * Trusts the list again; call this when records of removed endpoints must have expired from it.
+   */
+  markListCurrent(): void {
+    this.departed.markListCurrent();
   }
 
   /**
-   * Takes a configuration that was the newest at some time after `askedAtMs`; false when it is older
-   * than the one in force, which then proves nothing.
+   * Applies a configuration that was current at some time after `askedAtMs`. Returns false if it is
+   * older than the active one, which it then does not confirm.
    * @example state.offerConfig(config, askedAtMs)
    */
   offerConfig(config: PublishedConfig, askedAtMs: number): boolean {
-    if (this.current && config.version < this.current.version) return false;
-    if (!this.current || config.version > this.current.version) this.current = config;
-    this.prove(askedAtMs);
+    if (this.currentConfig && config.version < this.currentConfig.version) return false;
+    if (!this.currentConfig || config.version > this.currentConfig.version)
+      this.currentConfig = config;
+    this.confirm(askedAtMs);
     return true;
   }
 
-  /** Notes that the configuration in force was still the newest at some time after `askedAtMs`. */
+  /** Confirms that the active configuration was still current at some time after `askedAtMs`. */
   proveConfig(askedAtMs: number): void {
-    if (this.current) this.prove(askedAtMs);
+    if (this.currentConfig) this.confirm(askedAtMs);
   }
 
-  private prove(atMs: number): void {
-    this.noteHeard(atMs);
-    if (atMs >= this.provesFromMs) this.provedAtMs = Math.max(this.provedAtMs, atMs);
+  private confirm(atMs: number): void {
+    this.noteContact(atMs);
+    if (atMs >= this.confirmableFromMs) this.confirmedAtMs = Math.max(this.confirmedAtMs, atMs);
   }
 
-  /** Whether an endpoint takes new work. */
+  /** Returns whether an endpoint receives new requests. */
   takesWork(id: EndpointId): boolean {
     const endpoint = this.endpoints.get(id);
-    return endpoint !== undefined && !this.hasLeft(endpoint);
+    return endpoint !== undefined && !this.isDeparted(endpoint);
   }
 
-  /** Endpoints of a service that take new work. */
+  /** Iterates over the endpoints of a service that receive new requests. */
   *workingOf(service: ServiceId): Iterable<PublishedEndpoint> {
     for (const endpoint of this.endpoints.values())
-      if (endpoint.service === service && !this.hasLeft(endpoint)) yield endpoint;
+      if (endpoint.service === service && !this.isDeparted(endpoint)) yield endpoint;
   }
 
   /**
-   * Notes that a process of an endpoint said, by another way than the list, that it leaves; false when that was known. It holds
-   * whatever the list says of that process.
-   * @example if (state.noteLeaving(endpoint)) tellOthers();
+   * Records that an endpoint process announced its leaving outside the list; returns false if that
+   * was known. It applies whatever the list says about that process.
+   * @example if (state.noteLeaving(endpoint)) broadcastLeaving();
    */
   noteLeaving(process: EndpointProcess): boolean {
-    if (this.left.isLeaving(process)) return false;
-    this.left.noteLeaving(process);
+    if (this.departed.isLeaving(process)) return false;
+    this.departed.noteLeaving(process);
     return true;
   }
 
-  private hasLeft(endpoint: PublishedEndpoint): boolean {
-    return this.left.isLeaving(endpoint) || this.left.isGone(endpoint);
+  private isDeparted(endpoint: PublishedEndpoint): boolean {
+    return this.departed.isLeaving(endpoint) || this.departed.isGone(endpoint);
   }
 
-  /** The list with all that is known of it, for others, who may know less: what leaves is marked, what was gone is left out. */
-  listToTell(): Map<EndpointId, PublishedEndpoint> {
-    const told = new Map<EndpointId, PublishedEndpoint>();
+  /**
+   * Returns the list for peers that may know less: leaving endpoints are marked, and endpoints that
+   * were removed before are omitted.
+   */
+  listForPeers(): Map<EndpointId, PublishedEndpoint> {
+    const peerList = new Map<EndpointId, PublishedEndpoint>();
     for (const [id, endpoint] of this.endpoints) {
-      if (this.left.isGone(endpoint)) continue;
-      const isLeaving = endpoint.isLeaving || this.left.isLeaving(endpoint);
-      told.set(id, isLeaving === endpoint.isLeaving ? endpoint : { ...endpoint, isLeaving });
+      if (this.departed.isGone(endpoint)) continue;
+      const isLeaving = endpoint.isLeaving || this.departed.isLeaving(endpoint);
+      peerList.set(id, isLeaving === endpoint.isLeaving ? endpoint : { ...endpoint, isLeaving });
     }
-    return told;
+    return peerList;
   }
 
   /**
-   * Takes a whole list. Endpoints that are missing are gone, unless the store has just come back, when
-   * entries that lapsed meanwhile have yet to be written again: then they are kept until `dropMissing`.
+   * Replaces the list. Missing endpoints are removed, except shortly after an outage, when expired
+   * records have yet to be rewritten: they are then kept until `dropMissing`.
    * @example state.offerList(endpoints, false).gone
    */
   offerList(listed: readonly PublishedEndpoint[], keepsMissing: boolean): ListChange {
     const next = new Map(listed.map((endpoint) => [endpoint.id, endpoint]));
     const gone = keepsMissing ? this.keepMissing(next) : this.missingFrom(next);
     const joined = listed.filter((e) => e.startedAtMs !== this.endpoints.get(e.id)?.startedAtMs);
-    const leaving = listed.filter((e) => e.isLeaving && !this.left.isLeaving(e));
-    for (const endpoint of leaving) this.left.noteLeaving(endpoint);
-    for (const endpoint of joined) this.left.noteListed(endpoint);
+    const leaving = listed.filter((e) => e.isLeaving && !this.departed.isLeaving(e));
+    for (const endpoint of leaving) this.departed.noteLeaving(endpoint);
+    for (const endpoint of joined) this.departed.noteListed(endpoint);
     this.noteGone(gone);
     this.endpoints = next;
     return { joined, leaving: leaving.map((e) => e.id), gone };
   }
 
   /**
-   * Takes changes of the list.
+   * Applies changes to the list.
    * @example state.applyChanges([{ kind: 'removed', id }], false).gone // [id]
    */
   applyChanges(changes: readonly EndpointChange[], keepsMissing: boolean): ListChange {
@@ -178,7 +189,7 @@
   }
 
   /**
-   * Drops the endpoints that were kept though they are missing.
+   * Removes the missing endpoints that were kept.
    * @example state.dropMissing().gone
    */
   dropMissing(): ListChange {
@@ -192,7 +203,7 @@
   private noteGone(ids: readonly EndpointId[]): void {
     for (const id of ids) {
       const endpoint = this.endpoints.get(id);
-      if (endpoint) this.left.noteGone(endpoint);
+      if (endpoint) this.departed.noteGone(endpoint);
     }
   }
 
--- a/src/core/published/relay.ts
+++ b/src/core/published/relay.ts
@@ -1,9 +1,10 @@
 /**
- * What an entry that follows the store tells other daemons, so that they need not ask the store themselves: how the list of
- * endpoints changed, which version of the configuration is the newest, when that was proved last, and in which era of the store.
- *
- * 228 daemons that each kept a waiting call at the store made 10,782 calls in 73 s of the heaviest day of a large
- * deployment; each call is counted against a rate that grows more slowly than the fleet.
+ * Serves the state that an entry reads from the store to other daemons, so that they need no calls
+ * to the store: changes of the endpoint list, the newest configuration version, when it was last
+ * confirmed as current, and the era of the store.
+ * With one waiting call per daemon, 228 daemons made 10,782 calls to the store in 73 s of the
+ * heaviest day of a large deployment. Each call counts against a rate that grows more slowly than
+ * the fleet.
  */
 import { NO_VERSION, type RateLimitGossip } from '../backpressure/index.js';
 import type { Clock } from '../clock/index.js';
@@ -17,197 +18,211 @@
 import type { PublishedState } from './published-state.js';
 import type { PublishedEndpoint } from './types.js';
 
-/** Changes kept for those who ask; whoever missed more is told the whole list. A release replaces 129 engines. */
-const MOST_CHANGES = 512;
+/**
+ * Number of changes kept. Clients that missed more receive the whole list. A release replaces 129
+ * engines.
+ */
+const MAX_CHANGES = 512;
 
-/** The part of an answer that tells of crashes. */
+/** The fields of an update that concern crashes. */
 type CrashFields = Pick<PublishedNews, 'crashVersion' | 'crashes'>;
 
 /** One change of the list. */
 interface Change {
   readonly id: EndpointId;
-  /** The endpoint as it is now; undefined when it is gone. */
+  /** The current endpoint; undefined if it was removed. */
   readonly endpoint: PublishedEndpoint | undefined;
 }
 
-/** What relaying needs. */
-export interface RelayParts {
+/** Dependencies of `PublishedRelay`. */
+export interface RelayDeps {
   readonly state: PublishedState;
   readonly clock: Clock;
-  /** This life of the process: the changes that it counts are those of no other. */
+  /** Incarnation of this process; sequence numbers are only valid within it. */
   readonly life: Incarnation;
-  /** Whether this daemon hears from the store itself. */
+  /** Whether this daemon reads from the store itself. */
   readonly isDirect: () => boolean;
-  /** What is known of requests that crash endpoints; passed on with the rest. */
+  /** Evidence of requests that crash endpoints, forwarded with the updates. */
   readonly crashes?: CrashEvidence;
-  /** What is known of the limits that endpoints named; passed on with the rest. */
+  /** Limits declared by endpoints, forwarded with the updates. */
   readonly asks?: RateLimitGossip;
 }
 
 /**
- * Time without word of the store from which a relay is of no use, ms. It hears from it each 0.7 s. What it does not tell of has
- * to be in force 2 s after it was published, so that whoever hears from it must ask elsewhere well before.
+ * Time without contact with the store after which a relay is not used, ms. A relay has contact
+ * every 0.7 s. A change that it does not report must take effect within 2 s of being published, so
+ * its clients must switch to another source well before.
  */
-export const STALE_MS = 1200;
+export const RELAY_STALE_MS = 1200;
 
-/** Endpoints that did not change are the same objects from one look to the next, but after everything was read anew. */
-function isAlike(a: PublishedEndpoint, b: PublishedEndpoint | undefined): boolean {
+/**
+ * Unchanged endpoints are usually the same object; after a full read they are only equal by value.
+ */
+function isSameEndpoint(a: PublishedEndpoint, b: PublishedEndpoint | undefined): boolean {
   return a === b || JSON.stringify(a) === JSON.stringify(b);
 }
 
-/** Tells others what this daemon follows. */
+/** Serves the published state of this daemon to others. */
 export class PublishedRelay {
   private readonly changes: Change[] = [];
-  /** Changes told so far. */
+  /** Number of changes recorded so far. */
   private sequence = 0;
-  private told: ReadonlyMap<EndpointId, PublishedEndpoint> = new Map();
-  private readonly waiting = new Set<() => void>();
+  private sentList: ReadonlyMap<EndpointId, PublishedEndpoint> = new Map();
+  private readonly wakeCallbacks = new Set<() => void>();
 
-  constructor(private readonly parts: RelayParts) {}
+  constructor(private readonly deps: RelayDeps) {}
 
-  /** Takes what has been learnt since, and tells those who wait. */
+  /** Records the changes of the list since the last call and wakes waiting requests. */
   noteLearnt(): void {
-    const list = this.parts.state.listToTell();
+    const list = this.deps.state.listForPeers();
     for (const endpoint of list.values())
-      if (!isAlike(endpoint, this.told.get(endpoint.id))) this.note({ id: endpoint.id, endpoint });
-    for (const id of this.told.keys()) if (!list.has(id)) this.note({ id, endpoint: undefined });
-    this.told = list;
+      if (!isSameEndpoint(endpoint, this.sentList.get(endpoint.id)))
+        this.recordChange({ id: endpoint.id, endpoint });
+    for (const id of this.sentList.keys())
+      if (!list.has(id)) this.recordChange({ id, endpoint: undefined });
+    this.sentList = list;
     this.wake();
   }
 
-  /** Tells those who wait for news or a proof how things stand. */
+  /** Wakes all waiting requests, which then respond with the current state. */
   wake(): void {
-    for (const wake of [...this.waiting]) wake();
+    for (const wake of [...this.wakeCallbacks]) wake();
   }
 
-  private note(change: Change): void {
+  private recordChange(change: Change): void {
     this.sequence += 1;
     this.changes.push(change);
-    if (this.changes.length > MOST_CHANGES) this.changes.shift();
+    if (this.changes.length > MAX_CHANGES) this.changes.shift();
   }
 
   /**
-   * Answers as soon as there is news, when the wait is over, or when what is known is no use any more.
+   * Responds as soon as there is an update, when the wait is over, or when the state becomes stale.
    * @example await relay.answer({ life: '', sequence: 0, waitMs: 0, wantsProof: true })
    */
-  async answer(ask: PublishedAsk): Promise<PublishedNews> {
-    const { clock } = this.parts;
+  async answer(request: PublishedAsk): Promise<PublishedNews> {
+    const { clock } = this.deps;
     const askedAtMs = clock.nowMs();
-    while (!this.hasNews(ask)) {
+    while (!this.hasUpdate(request)) {
       const heldMs = clock.nowMs() - askedAtMs;
-      const freshMs = STALE_MS - this.parts.state.heardAgeMs(clock.nowMs());
-      const leftMs = Math.min(ask.waitMs - heldMs, freshMs);
-      const isLearnt = leftMs > 0 && (await this.nextLearnt(leftMs));
-      if (!isLearnt || ask.wantsProof) break;
+      const freshMs = RELAY_STALE_MS - this.deps.state.lastContactAgoMs(clock.nowMs());
+      const leftMs = Math.min(request.waitMs - heldMs, freshMs);
+      const isWoken = leftMs > 0 && (await this.waitForWake(leftMs));
+      if (!isWoken || request.wantsProof) break;
     }
-    return this.newsFor(ask, clock.nowMs() - askedAtMs);
+    return this.buildUpdate(request, clock.nowMs() - askedAtMs);
   }
 
-  /** Waits until something is learnt; false when it takes longer. */
-  private nextLearnt(withinMs: number): Promise<boolean> {
+  /** Waits until `wake` is called; resolves to false on timeout. */
+  private waitForWake(withinMs: number): Promise<boolean> {
     return new Promise((resolve) => {
-      const end = (isLearnt: boolean): void => {
+      const end = (isWoken: boolean): void => {
         clearTimeout(timer);
-        this.waiting.delete(wake);
-        resolve(isLearnt);
+        this.wakeCallbacks.delete(wake);
+        resolve(isWoken);
       };
       const wake = (): void => end(true);
       const timer = setTimeout(() => end(false), withinMs);
-      this.waiting.add(wake);
+      this.wakeCallbacks.add(wake);
     });
   }
 
-  private hasNews(ask: PublishedAsk): boolean {
-    if (!this.follows(ask) || ask.sequence !== this.sequence) return true;
-    if (this.lacksCrashes(ask) || this.lacksAsks(ask)) return true;
-    const version = this.parts.state.config?.version;
-    return ask.configVersion !== undefined && ask.configVersion !== version;
+  private hasUpdate(request: PublishedAsk): boolean {
+    if (!this.canSendChanges(request) || request.sequence !== this.sequence) return true;
+    if (this.lacksCrashUpdate(request) || this.lacksRateLimitUpdate(request)) return true;
+    const version = this.deps.state.config?.version;
+    return request.configVersion !== undefined && request.configVersion !== version;
   }
 
-  /** Whether what an asker has can be brought up to date by the changes that are kept. */
-  private follows({ life, sequence }: PublishedAsk): boolean {
-    if (life !== this.parts.life || sequence > this.sequence) return false;
+  /** Returns whether the kept changes suffice to bring a client up to date. */
+  private canSendChanges({ life, sequence }: PublishedAsk): boolean {
+    if (life !== this.deps.life || sequence > this.sequence) return false;
     return this.sequence - sequence <= this.changes.length;
   }
 
-  /** Version of the evidence of crashes that an asker has heard; one of another life of this daemon means nothing. */
-  private crashesHeard({ life, crashesHeard = 0 }: PublishedAsk): number {
-    return life === this.parts.life ? crashesHeard : 0;
+  /**
+   * Returns the version of the crash evidence that a client has; versions of another incarnation do
+   * not count.
+   */
+  private seenCrashVersion({ life, crashesHeard = 0 }: PublishedAsk): number {
+    return life === this.deps.life ? crashesHeard : 0;
   }
 
-  /** Whether there is evidence of crashes that an asker wants and has not heard. */
-  private lacksCrashes(ask: PublishedAsk): boolean {
-    if (ask.crashesHeard === undefined) return false;
-    return this.crashesHeard(ask) < (this.parts.crashes?.version ?? 0);
+  /** Returns whether a client asks for crash evidence and has an older version. */
+  private lacksCrashUpdate(request: PublishedAsk): boolean {
+    if (request.crashesHeard === undefined) return false;
+    return this.seenCrashVersion(request) < (this.deps.crashes?.version ?? 0);
   }
 
-  private crashNews(ask: PublishedAsk): CrashFields {
-    const { crashes } = this.parts;
-    if (!crashes || ask.crashesHeard === undefined) return {};
-    const news = { crashVersion: crashes.version };
-    if (!this.lacksCrashes(ask)) return news;
-    return { ...news, crashes: crashes.newsSince(this.crashesHeard(ask)) };
+  private crashFields(request: PublishedAsk): CrashFields {
+    const { crashes } = this.deps;
+    if (!crashes || request.crashesHeard === undefined) return {};
+    const fields = { crashVersion: crashes.version };
+    if (!this.lacksCrashUpdate(request)) return fields;
+    return { ...fields, crashes: crashes.newsSince(this.seenCrashVersion(request)) };
   }
 
-  /** What an asker has heard of limits; what it heard of another life of this daemon means nothing. */
-  private asksHeard({ life, asksHeard }: PublishedAsk): number | undefined {
+  /**
+   * Returns the version of the declared limits that a client has; versions of another incarnation
+   * do not count.
+   */
+  private seenRateLimitVersion({ life, asksHeard }: PublishedAsk): number | undefined {
     if (asksHeard === undefined) return undefined;
-    return life === this.parts.life ? asksHeard : NO_VERSION;
+    return life === this.deps.life ? asksHeard : NO_VERSION;
   }
 
-  private lacksAsks(ask: PublishedAsk): boolean {
-    const heard = this.asksHeard(ask);
-    return heard !== undefined && (this.parts.asks?.hasChangesSince(heard) ?? false);
+  private lacksRateLimitUpdate(request: PublishedAsk): boolean {
+    const seenVersion = this.seenRateLimitVersion(request);
+    return seenVersion !== undefined && (this.deps.asks?.hasChangesSince(seenVersion) ?? false);
   }
 
-  private askNews(ask: PublishedAsk): Pick<PublishedNews, 'asks'> {
-    const heard = this.asksHeard(ask);
-    const asks = heard === undefined ? undefined : this.parts.asks?.deltaSince(heard);
+  private rateLimitFields(request: PublishedAsk): Pick<PublishedNews, 'asks'> {
+    const seenVersion = this.seenRateLimitVersion(request);
+    const asks = seenVersion === undefined ? undefined : this.deps.asks?.deltaSince(seenVersion);
     return asks ? { asks } : {};
   }
 
-  private newsFor(ask: PublishedAsk, waitedMs: number): PublishedNews {
-    const { state, clock, life } = this.parts;
+  private buildUpdate(request: PublishedAsk, waitedMs: number): PublishedNews {
+    const { state, clock, life } = this.deps;
     const version = state.config?.version;
-    const follows = this.follows(ask);
-    const changes = follows ? this.changesSince(ask.sequence) : this.told;
+    const canSendChanges = this.canSendChanges(request);
+    const changes = canSendChanges ? this.changesSince(request.sequence) : this.sentList;
     const nowMs = clock.nowMs();
     return {
       life,
       sequence: this.sequence,
-      isWhole: !follows,
+      isWhole: !canSendChanges,
       written: [...changes.values()].filter((endpoint) => endpoint !== undefined),
       removed: [...changes].flatMap(([id, endpoint]) => (endpoint ? [] : [id])),
       ...(version !== undefined && { configVersion: version }),
-      ...(ask.wantsDocument && state.config?.document && { document: state.config.document }),
+      ...(request.wantsDocument && state.config?.document && { document: state.config.document }),
       era: state.era,
-      // What was never proved or heard is older than anything that is acted on.
+      // Infinite if never recorded, which JSON cannot hold; clients treat the maximum as stale.
       provedAgoMs: Math.min(state.proofAgeMs(nowMs), Number.MAX_SAFE_INTEGER),
-      heardAgoMs: Math.min(state.heardAgeMs(nowMs), Number.MAX_SAFE_INTEGER),
-      isDirect: this.parts.isDirect(),
+      heardAgoMs: Math.min(state.lastContactAgoMs(nowMs), Number.MAX_SAFE_INTEGER),
+      isDirect: this.deps.isDirect(),
       waitedMs,
-      ...this.crashNews(ask),
-      ...this.askNews(ask),
+      ...this.crashFields(request),
+      ...this.rateLimitFields(request),
     };
   }
 
-  /** The newest state of each endpoint that has changed. */
+  /** Returns the latest state of each endpoint that has changed. */
   private changesSince(sequence: number): Map<EndpointId, PublishedEndpoint | undefined> {
-    const missed = this.sequence - sequence;
-    const since = missed > 0 ? this.changes.slice(-missed) : [];
+    const missedCount = this.sequence - sequence;
+    const since = missedCount > 0 ? this.changes.slice(-missedCount) : [];
     return new Map(since.map(({ id, endpoint }) => [id, endpoint]));
   }
 }
 
 /**
- * The endpoint that a relay told of.
- * @example news.written.map(endpointFrom)
+ * Converts an endpoint received from a relay.
+ * @example update.written.map(endpointFrom)
  */
-export function endpointFrom(told: RelayedEndpoint): PublishedEndpoint {
+export function endpointFrom(relayed: RelayedEndpoint): PublishedEndpoint {
   return {
-    ...told,
-    id: asId(told.id),
-    service: asId(told.service),
-    dataCentre: asId(told.dataCentre),
+    ...relayed,
+    id: asId(relayed.id),
+    service: asId(relayed.service),
+    dataCentre: asId(relayed.dataCentre),
   };
 }
--- a/src/core/published/relayed-source.ts
+++ b/src/core/published/relayed-source.ts
@@ -1,32 +1,36 @@
-/** The published state as a daemon reads it: from the first relay that has fresh news, or from the store. */
+/** Reads the published state from the first relay that is fresh, or from the store. */
 import type { Clock } from '../clock/index.js';
 import type { Log } from '../logging/index.js';
 import { Err, Ok, type Result } from '../result/index.js';
-import { readBeside } from './first-read.js';
-import { OneRelay, type OneRelayParts } from './one-relay.js';
+import { readStoreAndRelays } from './first-read.js';
+import { RelayClient, type RelayClientDeps } from './relay-client.js';
 import type { ConfigRead, PublishedRead, PublishedSource, ReadFault, Watched } from './source.js';
 
-/** Time for which a source that failed is not asked, ms; for a relay it doubles with each failure in a row up to the longest. */
-const AVOIDED_MS = { first: 3000, most: 24_000 } as const;
+/**
+ * Time for which a failed source is avoided, ms. For a relay it doubles with each consecutive
+ * failure, up to `max`.
+ */
+const AVOID_MS = { first: 3000, max: 24_000 } as const;
 
 /**
- * Time for which a daemon that knows nothing yet asks the relays before it asks the store, and the pause between, ms. All
- * daemons may start together, and the relays among them are up within some tenths of a second: each that does not wait
- * reads everything from the store, four calls of a large list in place of one.
+ * Time for which a daemon without state tries the relays before the store, and the pause between
+ * attempts, ms. All daemons may start together, and relays are up within some tenths of a second. A
+ * daemon that does not wait reads everything from the store: four calls for a large list instead of
+ * one.
  */
-const START = { withinMs: 700, pauseMs: 200 } as const;
+const STARTUP = { withinMs: 700, pauseMs: 200 } as const;
 
-/** What reading needs; those who are relays themselves ask the store before the others. */
-export interface RelayedParts extends OneRelayParts {
-  /** Addresses of the relays, the first to be asked first. */
+/** Dependencies of `RelayedSource`. A relay itself tries the store before other relays. */
+export interface RelayedParts extends RelayClientDeps {
+  /** Addresses of the relays in order of preference. */
   readonly relays: readonly string[];
   readonly clock: Clock;
   readonly log: Log;
-  /** Waits, ms; a test may bring its own time. */
+  /** Waits for a time, ms; injectable for tests. */
   readonly pause: (ms: number) => Promise<void>;
 }
 
-/** Where something may be read. */
+/** A source and its recent failures. */
 interface Candidate {
   readonly source: PublishedSource;
   failures: number;
@@ -37,132 +41,149 @@
   return { source, failures: 0, avoidedUntilMs: Number.NEGATIVE_INFINITY };
 }
 
-/** Reads from the first source of several that has fresh news. */
+/** Reads from the first of several sources that is fresh. */
 export class RelayedSource implements PublishedSource {
   private readonly store: Candidate;
-  private readonly oneRelays: readonly OneRelay[];
-  private readonly relays: readonly Candidate[];
-  /** Where was read last. */
+  private readonly relayClients: readonly RelayClient[];
+  private readonly relayCandidates: readonly Candidate[];
+  /** The source that was read last. */
   private current: Candidate | undefined;
 
-  constructor(private readonly parts: RelayedParts) {
-    this.store = candidateOf(parts.store);
-    this.oneRelays = parts.relays.map((address) => new OneRelay(address, parts));
-    this.relays = this.oneRelays.map(candidateOf);
+  constructor(private readonly deps: RelayedParts) {
+    this.store = candidateOf(deps.store);
+    this.relayClients = deps.relays.map((address) => new RelayClient(address, deps));
+    this.relayCandidates = this.relayClients.map(candidateOf);
   }
 
-  /** Where was read last. */
+  /** Name of the source that was read last. */
   get name(): string {
     return (this.current ?? this.store).source.name;
   }
 
-  /** Whether what is held comes from the store itself. */
+  /** Whether the state comes from the store itself. */
   get isDirect(): boolean {
     return this.current === undefined || this.current === this.store;
   }
 
-  /** Reads everything from the first source that has it. */
+  /** Reads everything from the first source that succeeds. */
   async readAll(): Promise<Result<PublishedRead, ReadFault>> {
     const first = this.current ? undefined : await this.readAtStart();
     if (first?.ok) return first;
     let last: Result<PublishedRead, ReadFault> = Err({
       kind: 'missing',
-      detail: 'no source was asked',
+      detail: 'no source was tried',
     });
-    for (const from of this.inTurn()) {
-      last = await this.readFrom(from);
+    for (const candidate of this.candidatesInOrder()) {
+      last = await this.readFrom(candidate);
       if (last.ok) {
-        from.failures = 0;
+        candidate.failures = 0;
         return last;
       }
-      this.noteBad(from, last.val as ReadFault);
+      this.noteFailure(candidate, last.val as ReadFault);
     }
     return last;
   }
 
-  /** The first read; undefined or a fault where the sources are to be asked in turn. */
+  /** Makes the first read; the sources are tried in order if it returns undefined or an error. */
   private readAtStart(): Promise<Result<PublishedRead, ReadFault> | undefined> {
-    if (!this.parts.isRelay) return this.readFromRelays();
-    return readBeside(() => this.readFrom(this.store), this.oneRelays);
+    if (!this.deps.isRelay) return this.readFromRelays();
+    return readStoreAndRelays(() => this.readFrom(this.store), this.relayClients);
   }
 
-  /** Reads everything from a relay that may have yet to start; undefined when none of them answers in time. */
+  /**
+   * Reads everything from a relay, which may still be starting; returns undefined if none responds
+   * in time.
+   */
   private async readFromRelays(): Promise<Result<PublishedRead, ReadFault> | undefined> {
-    const untilMs = this.parts.clock.nowMs() + START.withinMs;
-    while (this.relays.length > 0 && this.parts.clock.nowMs() < untilMs) {
-      for (const from of this.relays) {
-        const read = await this.readFrom(from);
+    const untilMs = this.deps.clock.nowMs() + STARTUP.withinMs;
+    while (this.relayCandidates.length > 0 && this.deps.clock.nowMs() < untilMs) {
+      for (const candidate of this.relayCandidates) {
+        const read = await this.readFrom(candidate);
         if (read.ok) return read;
       }
-      await this.parts.pause(START.pauseMs);
+      await this.deps.pause(STARTUP.pauseMs);
     }
     return undefined;
   }
 
-  private async readFrom(from: Candidate): Promise<Result<PublishedRead, ReadFault>> {
-    const read = await from.source.readAll();
-    if (read.ok) this.current = from;
+  private async readFrom(candidate: Candidate): Promise<Result<PublishedRead, ReadFault>> {
+    const read = await candidate.source.readAll();
+    if (read.ok) this.current = candidate;
     return read;
   }
 
-  /** Changes since what was read last; where they cannot be had there, everything is to be read anew elsewhere. */
+  /**
+   * Watches the source that was read last; if that fails, everything has to be read again from
+   * another source.
+   */
   async watch(revision: number, waitMs: number): Promise<Result<Watched, ReadFault>> {
     const { current } = this;
-    if (!current || this.inTurn()[0] !== current) return Ok({ kind: 'forgotten' });
+    if (!current || this.candidatesInOrder()[0] !== current) return Ok({ kind: 'forgotten' });
     const watched = await current.source.watch(revision, waitMs);
     if (watched.ok) {
       current.failures = 0;
       return watched;
     }
     const fault = watched.val as ReadFault;
-    // Its connection alone may have fallen silent: whoever reads from the store itself asks once more, by a new one.
+    // Only the connection may have stalled: a daemon that reads from the store tries once more on a
+    // new connection.
     if (current === this.store && current.failures === 0 && fault.kind === 'timeout') {
       current.failures += 1;
       return watched;
     }
-    this.noteBad(current, fault);
-    const isAlone = this.inTurn()[0] === current;
-    return isAlone ? watched : Ok({ kind: 'forgotten' });
+    this.noteFailure(current, fault);
+    const isOnlySource = this.candidatesInOrder()[0] === current;
+    return isOnlySource ? watched : Ok({ kind: 'forgotten' });
   }
 
   /**
-   * The configuration that was told of: from the store, which every daemon of a fleet has its own way to, or else from who
-   * told of it. Relays pass it on to those alone that the store turns away, or that it gives an older one, as it does when it
-   * has come back from a copy: it may take a megabyte.
+   * Reads the announced configuration from the store, or else from the relay that announced it.
+   * Each daemon has its own connection to the store, and a document may take a megabyte. Relays
+   * forward it only to daemons that the store rejects or gives an older version, as it does after
+   * being restored from a copy.
    */
   async readConfig(): Promise<Result<ConfigRead, ReadFault>> {
-    const read = await this.parts.store.readConfig();
-    const teller = this.tellerOfNewer(read);
-    return teller ? teller.readConfig() : read;
+    const read = await this.deps.store.readConfig();
+    const newerRelay = this.relayWithNewerConfig(read);
+    return newerRelay ? newerRelay.readConfig() : read;
   }
 
-  /** The relay that knows a newer configuration than what was read; the current one before others. */
-  private tellerOfNewer(read: Result<ConfigRead, ReadFault>): OneRelay | undefined {
-    const news = read.ok ? read.val.config : undefined;
-    // One that cannot be read from the store cannot be read from a relay either.
-    if (news && news.kind !== 'read') return undefined;
-    const version = news?.config.version ?? 0;
-    const tellers = this.oneRelays.filter(({ toldVersion = 0 }) => toldVersion > version);
-    return tellers.find((relay) => relay === this.current?.source) ?? tellers[0];
+  /**
+   * Returns a relay that announced a newer configuration than the one read, preferably the current
+   * source.
+   */
+  private relayWithNewerConfig(read: Result<ConfigRead, ReadFault>): RelayClient | undefined {
+    const update = read.ok ? read.val.config : undefined;
+    // A version that the store returned but that cannot be decoded cannot be decoded from a relay
+    // either.
+    if (update && update.kind !== 'read') return undefined;
+    const version = update?.config.version ?? 0;
+    const newerRelays = this.relayClients.filter(
+      ({ announcedVersion: toldVersion = 0 }) => toldVersion > version,
+    );
+    return newerRelays.find((relay) => relay === this.current?.source) ?? newerRelays[0];
   }
 
-  /** Sources to be asked, in their order. The store is asked in any case, when no other is left. */
-  private inTurn(): Candidate[] {
-    const nowMs = this.parts.clock.nowMs();
-    const isOpen = ({ avoidedUntilMs }: Candidate): boolean => avoidedUntilMs <= nowMs;
-    const relays = this.relays.filter(isOpen);
-    const isFirst = this.parts.isRelay && isOpen(this.store);
-    return isFirst ? [this.store, ...relays] : [...relays, this.store];
+  /**
+   * Returns the sources in the order in which to try them. The store is always included, as a last
+   * resort.
+   */
+  private candidatesInOrder(): Candidate[] {
+    const nowMs = this.deps.clock.nowMs();
+    const isAvailable = ({ avoidedUntilMs }: Candidate): boolean => avoidedUntilMs <= nowMs;
+    const relays = this.relayCandidates.filter(isAvailable);
+    const isStoreFirst = this.deps.isRelay && isAvailable(this.store);
+    return isStoreFirst ? [this.store, ...relays] : [...relays, this.store];
   }
 
-  private noteBad(from: Candidate, { kind, detail }: ReadFault): void {
-    // A store that was away has to be asked again soon: relays hear of changes from it alone.
-    const growth = from === this.store ? 1 : 2 ** from.failures;
-    const avoidedMs = Math.min(AVOIDED_MS.most, AVOIDED_MS.first * growth);
-    from.failures += 1;
-    from.avoidedUntilMs = this.parts.clock.nowMs() + avoidedMs;
-    this.parts.log.info('published.avoided', {
-      source: from.source.name,
+  private noteFailure(candidate: Candidate, { kind, detail }: ReadFault): void {
+    // A store that failed must be retried soon, because relays only receive changes from it.
+    const growth = candidate === this.store ? 1 : 2 ** candidate.failures;
+    const avoidedMs = Math.min(AVOID_MS.max, AVOID_MS.first * growth);
+    candidate.failures += 1;
+    candidate.avoidedUntilMs = this.deps.clock.nowMs() + avoidedMs;
+    this.deps.log.info('published.avoided', {
+      source: candidate.source.name,
       kind,
       detail,
       forMs: avoidedMs,
--- a/src/core/published/routes.ts
+++ b/src/core/published/routes.ts
@@ -1,8 +1,8 @@
-/** Looks up routes, and picks the service of a split route. */
+/** Looks up routes and selects the service of a route with split traffic. */
 import type { PublishedConfig, Route, ServiceId } from './types.js';
 
 /**
- * Orders routes for look-up: by host, longest prefix first.
+ * Indexes routes by host, longest path prefix first.
  * @example indexRoutes([shop, shopAdmin]).get('a.example') // [shopAdmin, shop]
  */
 export function indexRoutes(routes: readonly Route[]): Map<string, Route[]> {
@@ -19,7 +19,7 @@
 }
 
 /**
- * The route of a request: the longest prefix among the routes of its host; undefined when none fits.
+ * Returns the route of the host with the longest matching path prefix; undefined if none matches.
  * @example findRoute(config, 'a.example', '/lookup/7?full=1')?.id
  */
 export function findRoute(config: PublishedConfig, host: string, path: string): Route | undefined {
@@ -28,7 +28,7 @@
 }
 
 /**
- * Picks a service by the weights of a split route.
+ * Selects a service at random by the traffic weights of a route.
  * @example pickService(route, Math.random)
  */
 export function pickService(route: Route, random: () => number): ServiceId | undefined {
--- a/src/core/published/source.ts
+++ b/src/core/published/source.ts
@@ -1,50 +1,59 @@
-/** Where the published state is read. What may go wrong is a value, so that no reader can miss it. */
+/**
+ * Interface for reading the published state. Errors are returned as values so that callers must
+ * handle them.
+ */
 import type { EndpointId } from '../ids/index.js';
 import type { Result } from '../result/index.js';
 import type { PublishedConfig, PublishedEndpoint } from './types.js';
 
-/** Why a read gave nothing. */
+/** Why a read failed. */
 export interface ReadFault {
-  /** Short kind for counters. */
+  /** Error kind, used as a metric label. */
   readonly kind: 'timeout' | 'busy' | 'reset' | 'missing' | 'invalid' | 'stale';
-  /** What was seen, for the log. */
+  /** Description for the log. */
   readonly detail: string;
 }
 
-/** One change of the list of endpoints. */
+/** One change of the endpoint list. */
 export type EndpointChange =
   | { readonly kind: 'written'; readonly endpoint: PublishedEndpoint }
   | { readonly kind: 'removed'; readonly id: EndpointId };
 
-/** What was learnt of the configuration. */
+/** What a read says about the configuration. */
 export type ConfigNews =
   | { readonly kind: 'read'; readonly config: PublishedConfig }
-  /** There is a newer one that cannot be taken: the one in force is not the newest any more. */
+  /** A newer version cannot be decoded; the active one is no longer current. */
   | { readonly kind: 'unreadable' }
-  /** There is a newer one, which has yet to be read. */
+  /** A newer version has yet to be read. */
   | { readonly kind: 'pending' }
-  /** It has not changed. */
+  /** Unchanged. */
   | { readonly kind: 'same' };
 
-/** When and in which era of the store something was read. */
+/** Time and store era of a read. */
 export interface ReadTime {
   /**
-   * Number of the store's era, which rises each time that it comes back from an older copy: revisions of one era mean nothing in
-   * another. 0 where left out.
+   * Number of the store's era, which rises each time the store is restored from an older copy.
+   * Revisions of different eras are not comparable. Defaults to 0.
    */
   readonly era?: number;
-  /** Time after asking at which all this was the newest, ms; negative where it was told by a relay. 0 where left out. */
-  readonly provedAfterMs?: number;
-  /** Time after asking at which the store was heard, ms, also where that proves nothing. `provedAfterMs` where left out. */
-  readonly heardAfterMs?: number;
+  /**
+   * Time after the request at which the result was confirmed as current, ms; negative if it came
+   * from a relay. Defaults to 0.
+   */
+  readonly confirmedAfterMs?: number;
+  /**
+   * Time after the request of the last contact with the store, ms, even if that confirms nothing.
+   * Defaults to `confirmedAfterMs`.
+   */
+  readonly contactAfterMs?: number;
 }
 
-/** Everything that is published, and the revision of the store from which changes are to be watched. */
+/** The whole published state and the store revision from which to watch for changes. */
 export interface PublishedRead extends ReadTime {
   readonly config: ConfigNews;
   readonly endpoints: readonly PublishedEndpoint[];
   readonly revision: number;
-  /** Records that were left out, each with field, value and remedy. */
+  /** Records that were skipped, each with field, value and remedy. */
   readonly invalid: readonly string[];
 }
 
@@ -54,7 +63,7 @@
   readonly invalid: readonly string[];
 }
 
-/** What came of watching for changes. */
+/** Result of watching for changes. */
 export type Watched =
   | (ReadTime & {
       readonly kind: 'changes';
@@ -64,22 +73,25 @@
       readonly revision: number;
       readonly invalid: readonly string[];
     })
-  /** The history since the revision is no longer known: everything has to be read again. */
+  /** The history since the revision is no longer available; a full read is needed. */
   | { readonly kind: 'forgotten' };
 
-/** Reads what operators and endpoints publish. Each answer is the newest state, never a stale one. */
+/**
+ * Reads what operators and endpoints publish. Every result is the newest state that the source has;
+ * a source whose state is stale returns an error.
+ */
 export interface PublishedSource {
-  /** What is read, for the log: `store`, or the address of a relay. */
+  /** Name for the log: `store`, or the address of a relay. */
   readonly name: string;
   readAll(): Promise<Result<PublishedRead, ReadFault>>;
-  /** Changes after a revision, as soon as there are some, or none after `waitMs`. */
+  /** Waits for changes after a revision; returns none after `waitMs`. */
   watch(revision: number, waitMs: number): Promise<Result<Watched, ReadFault>>;
-  /** The configuration alone, after the news that a newer one is pending. */
+  /** Reads the configuration alone, after a newer one was reported as pending. */
   readConfig(): Promise<Result<ConfigRead, ReadFault>>;
 }
 
 /** The store itself. */
 export interface PublishedStore extends PublishedSource {
-  /** The configuration in a document that was passed on as the store gave it. */
+  /** Decodes a configuration document that was forwarded as the store returned it. */
   decodeConfig(document: string): ConfigRead;
 }
--- a/src/core/published/types.ts
+++ b/src/core/published/types.ts
@@ -1,4 +1,4 @@
-/** What the operators and endpoints publish, decoded into types that say what they hold. */
+/** Decoded types of what operators and endpoints publish. */
 import type { EndpointId, Id, OrganisationId } from '../ids/index.js';
 
 export type ServiceId = Id<'service'>;
@@ -6,113 +6,115 @@
 export type DataCentreId = Id<'data-centre'>;
 
 /**
- * What may be done with a request of a route: run again at will, run once at most, or a stream of
- * events (which may be taken up elsewhere where the route is resumable).
+ * How a route's requests may be retried: any number of times, at most one execution, or a stream of
+ * events (which may continue at another endpoint if the route is resumable).
  */
 export type RouteKind = 'repeatable' | 'once' | 'stream';
 
-/** One share of a route's traffic. */
+/** A service's share of a route's traffic. */
 export interface TrafficShare {
   readonly service: ServiceId;
   /** Relative to the other shares of the route. */
   readonly weight: number;
 }
 
-/** One route: a host and a path prefix, and how its requests are to be treated. */
+/** A host and a path prefix, and how matching requests are handled. */
 export interface Route {
   readonly id: RouteId;
   readonly host: string;
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest time that one request may be held, ms. */
+  /** Upper limit on the duration of one request, ms. */
   readonly timeoutMs: number;
-  /** Time within which an answer, or a stream's first event, is worth most, ms. */
+  /** Latency target for a response, or for the first event of a stream, ms. */
   readonly targetMs: number;
-  /** Longest pause between events of a stream that is still in time, ms; streams only. */
+  /** Longest pause between events of a stream within the latency target, ms; streams only. */
   readonly gapMs: number | undefined;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly shares: readonly TrafficShare[];
-  /** Endpoints that one request may be sent to, the first included. */
+  /** Endpoints that one request may be sent to, including the first. */
   readonly maxAttempts: number;
-  /** Whether callers need no key. */
+  /** Whether callers need no API key. */
   readonly isPublic: boolean;
-  /** Whether a broken stream may go on at another endpoint. */
+  /** Whether a broken stream may continue at another endpoint. */
   readonly resumable: boolean;
 }
 
-/** One service: a set of endpoints that are alike. */
+/** A set of interchangeable endpoints. */
 export interface ServiceInfo {
   readonly id: ServiceId;
-  /** Connections that one endpoint takes from all callers together. */
+  /** Connections that one endpoint accepts from all callers together. */
   readonly maxConnections: number;
-  /** What the endpoints are as model engines; undefined for plain services. */
+  /** Properties of its model engines; undefined for plain services. */
   readonly engine: EngineInfo | undefined;
 }
 
-/** A service's model engines. */
+/** Properties of a service's model engines. */
 export interface EngineInfo {
-  /** Requests that one engine works on at once. */
+  /** Requests that one engine processes concurrently. */
   readonly slots: number;
-  /** Layers, or sets of layers, that have an expert map of their own. */
+  /** Layers, or sets of layers, that have their own expert map. */
   readonly layers: number;
   /** Experts that one rank can hold in a layer. */
   readonly slotsPerRank: number;
-  /** Experts that one map may bring anew to a rank and layer. */
+  /** New experts that one map may assign to a rank in a layer. */
   readonly mostNew: number;
-  /** Time that one rank takes to copy an expert, ms. */
+  /** Time for one rank to copy an expert, ms. */
   readonly copyMs: number;
   /** Size of an expert, GB. */
   readonly expertGb: number;
-  /** Time of a token step, ms: `stepMs`, and `perRequestMs` more for each request of a rank. */
+  /** Duration of a token step, ms: `stepMs` plus `perRequestMs` for each request on a rank. */
   readonly stepMs: number;
   readonly perRequestMs: number;
 }
 
-/** One organisation and what it may be recognised by. */
+/** An organisation and the priority of its requests. */
 export interface Organisation {
   readonly id: OrganisationId;
   readonly priority: number;
 }
 
-/** Limits on what a caller may send, and for how long it may take. */
+/** Limits on the size and duration of what callers send. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
   readonly headerMs: number;
-  /** Time that an idle connection is kept, ms. */
+  /** Time for which an idle connection is kept open, ms. */
   readonly idleMs: number;
 }
 
-/** One version of the configuration, ready to be looked up. */
+/** One configuration version, indexed for lookups. */
 export interface PublishedConfig {
   readonly version: number;
   /** Routes by host, longest prefix first. */
   readonly routesByHost: ReadonlyMap<string, readonly Route[]>;
   readonly services: ReadonlyMap<ServiceId, ServiceInfo>;
-  /** Organisations by key; undefined when no route needs one. */
+  /** Organisations by API key; undefined if no route requires one. */
   readonly organisationsByKey: ReadonlyMap<string, Organisation> | undefined;
   readonly limits: CallerLimits;
-  /** The document as it was published, to be passed on; undefined where it came in another form. */
+  /**
+   * The published document, for forwarding; undefined if the configuration came in another form.
+   */
   readonly document?: string;
 }
 
-/** One endpoint as it publishes itself. */
+/** An endpoint as it publishes itself. */
 export interface PublishedEndpoint {
   readonly id: EndpointId;
   readonly service: ServiceId;
-  /** host:port */
+  /** `host:port` */
   readonly address: string;
   readonly dataCentre: DataCentreId;
-  /** Requests that it works on at once. */
+  /** Requests that it processes concurrently. */
   readonly slots: number;
   readonly isLeaving: boolean;
   /**
-   * When its process started, Unix ms; 0 where it does not say. One that starts again may keep its id, and holds nothing
-   * of before.
+   * Start time of its process, Unix ms; 0 if unknown. A restarted process may keep its id but holds
+   * no state from before.
    */
   readonly startedAtMs: number;
 }
 
-/** One process of an endpoint; a later one may have its id. */
+/** One process of an endpoint; a later one may reuse its id. */
 export type EndpointProcess = Pick<PublishedEndpoint, 'id' | 'startedAtMs'>;
--- a/test/core/published/published-state.test.ts
+++ b/test/core/published/published-state.test.ts
@@ -8,7 +8,7 @@
 import {
   findRoute,
   followPublished,
-  RETURN_GRACE_MS,
+  OUTAGE_GRACE_MS,
   pickService,
   PublishedState,
   type ConfigNews,
@@ -229,7 +229,7 @@
     random: () => 0.5,
     log: { ...silentLog, info: note, warn: note },
     metrics: new Metrics(),
-    pace: { waitMs, leastWaitMs: waitMs / 10, changePauseMs: 1, failedPauseMs: 5 },
+    pace: { waitMs, minWaitMs: waitMs / 10, changePauseMs: 1, failedPauseMs: 5 },
   };
   const done = followPublished(parts, ending.signal);
   try {
@@ -342,7 +342,7 @@
     assert.equal(state.takesWork(id), true, 'it may be written again');
     while (state.takesWork(id) && systemClock.nowMs() - backAtMs < 3000) await wait(5);
     const keptMs = systemClock.nowMs() - backAtMs;
-    assert.ok(keptMs < RETURN_GRACE_MS, `${keptMs} ms`);
+    assert.ok(keptMs < OUTAGE_GRACE_MS, `${keptMs} ms`);
   }, 4000);
 });
 
@@ -361,7 +361,7 @@
       random: () => 0.5,
       log: silentLog,
       metrics: new Metrics(),
-      pace: { waitMs: 20, leastWaitMs: 2, changePauseMs: 2000, failedPauseMs: 5 },
+      pace: { waitMs: 20, minWaitMs: 2, changePauseMs: 2000, failedPauseMs: 5 },
       isLacking: () => state.config === undefined,
     },
     ending.signal,
--- a/test/core/published/relay-fleet.ts
+++ b/test/core/published/relay-fleet.ts
@@ -192,7 +192,7 @@
   daemon.state.enterEra(read.era ?? 0, fleet.nowMs);
   const pending =
     read.config.kind === 'pending' ? (await daemon.source.readConfig()).unwrap() : read;
-  const provedAtMs = askedAtMs + (read.provedAfterMs ?? 0);
+  const provedAtMs = askedAtMs + (read.confirmedAfterMs ?? 0);
   if (pending.config.kind === 'read') daemon.state.offerConfig(pending.config.config, provedAtMs);
   else daemon.state.proveConfig(provedAtMs);
   daemon.state.offerList(read.endpoints, false);
--- a/test/core/published/relayed-source.test.ts
+++ b/test/core/published/relayed-source.test.ts
@@ -46,8 +46,8 @@
     endpoints: [],
     revision: 0,
     era: 0,
-    provedAfterMs: -400,
-    heardAfterMs: -400,
+    confirmedAfterMs: -400,
+    contactAfterMs: -400,
   });
   assert.equal(fleet.store.total, 1);
 });
@@ -67,7 +67,7 @@
       fleet.nowMs += afterMs;
       const isFromRelay = fleet.store.calls.all === 1;
       const trueAtMs = isFromRelay ? provedMs : askedAtMs;
-      assert.ok(askedAtMs + (read.provedAfterMs ?? 0) <= trueAtMs);
+      assert.ok(askedAtMs + (read.confirmedAfterMs ?? 0) <= trueAtMs);
     }),
   );
 });
@@ -221,7 +221,7 @@
     const daemon = fleet.daemons.get(name) as Daemon;
     const watched = (await daemon.source.watch(0, 0)).unwrap();
     if (watched.kind === 'forgotten') await readAll(daemon, fleet);
-    else daemon.state.proveConfig(fleet.nowMs + (watched.provedAfterMs ?? 0));
+    else daemon.state.proveConfig(fleet.nowMs + (watched.confirmedAfterMs ?? 0));
     daemon.relay.noteLearnt();
   }
   for (const name of names) {
--- a/test/core/published/source-log.test.ts
+++ b/test/core/published/source-health.test.ts
@@ -2,28 +2,28 @@
 import { test } from 'node:test';
 import { silentLog, type LogFields } from '../../../src/core/logging/index.js';
 import { Metrics } from '../../../src/core/metrics/index.js';
-import { SourceLog } from '../../../src/core/published/source-log.js';
+import { SourceHealth } from '../../../src/core/published/source-health.js';
 
 test('a loss is told once, with the time that was waited and for how long nothing had been heard', () => {
   const lines: (readonly [string, LogFields | undefined])[] = [];
   const note = (event: string, fields?: LogFields): void => void lines.push([event, fields]);
   const metrics = new Metrics();
   let nowMs = 1000;
-  const log = new SourceLog({
+  const log = new SourceHealth({
     source: { name: 'store' },
     clock: { nowMs: () => nowMs, wallMs: () => nowMs },
     log: { ...silentLog, info: note, warn: note },
     metrics,
   });
-  assert.equal(log.worked(), 0);
-  log.heard();
+  assert.equal(log.noteSuccess(), 0);
+  log.noteReceived();
   nowMs = 4200;
-  log.failed({ kind: 'timeout', detail: 'silent' }, 1000);
+  log.noteFailure({ kind: 'timeout', detail: 'silent' }, 1000);
   nowMs = 5000;
-  log.failed({ kind: 'timeout', detail: 'silent' }, 4200);
+  log.noteFailure({ kind: 'timeout', detail: 'silent' }, 4200);
   nowMs = 5100;
-  assert.equal(log.worked(), 900);
-  log.heard();
+  assert.equal(log.noteSuccess(), 900);
+  log.noteReceived();
   const [lost, regained] = lines;
   assert.deepEqual(lost, [
     'published.lost',
