--- a/src/core/published/source.ts
+++ b/src/core/published/source.ts
@@ -77,8 +77,8 @@
   | { readonly kind: 'forgotten' };
 
 /**
- * Reads what operators and endpoints publish. Every result is the newest state that the source has;
- * a source whose state is stale returns an error.
+ * Reads what operators and endpoints publish. Every result is the newest state; a stale source
+ * returns an error instead.
  */
 export interface PublishedSource {
   /** Name for the log: `store`, or the address of a relay. */
--- a/test/core/published/published-state.test.ts
+++ b/test/core/published/published-state.test.ts
@@ -210,7 +210,7 @@
  * are some tenths of a second late.
  */
 const UPDATE_TIMEOUT_MS = 5000;
-const TIMEOUT: Result<Watched, ReadFault> = Err({ kind: 'timeout', detail: 'silent' });
+const TIMEOUT: Result<Watched, ReadFault> = Err({ kind: 'timeout', detail: 'no response' });
 
 interface FollowerTest {
   readonly source: FakeSource;
--- a/test/core/published/relay-fleet.ts
+++ b/test/core/published/relay-fleet.ts
@@ -27,7 +27,7 @@
 
 export const A = endpoint('a', '10.0.0.1:1');
 export const B = endpoint('b', '10.0.0.2:1');
-export const TIMEOUT: ReadFault = { kind: 'timeout', detail: 'silent' };
+export const TIMEOUT: ReadFault = { kind: 'timeout', detail: 'no response' };
 export const REJECTED: ReadFault = { kind: 'busy', detail: 'rejected' };
 
 /** Time within which daemons must follow the published state again after a stall, ms. */
--- a/test/core/published/relay.test.ts
+++ b/test/core/published/relay.test.ts
@@ -53,17 +53,17 @@
   const fixture = startRelay();
   fixture.publish([A, B], 7);
   fixture.nowMs += 300;
-  const news = await fixture.relay.answer(requestOf());
-  assert.ok(isPublishedNews(JSON.parse(JSON.stringify(news))));
-  assert.deepEqual(news.written.map(endpointFrom), [A, B]);
-  assert.deepEqual([news.isWhole, news.configVersion, news.provedAgoMs], [true, 7, 300]);
+  const update = await fixture.relay.answer(requestOf());
+  assert.ok(isPublishedNews(JSON.parse(JSON.stringify(update))));
+  assert.deepEqual(update.written.map(endpointFrom), [A, B]);
+  assert.deepEqual([update.isWhole, update.configVersion, update.provedAgoMs], [true, 7, 300]);
 });
 
 test('a relay without state sends a message that matches its schema', async () => {
-  const news = await startRelay().relay.answer(requestOf());
-  assert.ok(isPublishedNews(JSON.parse(JSON.stringify(news))));
-  assert.equal(news.configVersion, undefined);
-  assert.ok(news.provedAgoMs > 1e9);
+  const update = await startRelay().relay.answer(requestOf());
+  assert.ok(isPublishedNews(JSON.parse(JSON.stringify(update))));
+  assert.equal(update.configVersion, undefined);
+  assert.ok(update.provedAgoMs > 1e9);
 });
 
 test('clients that follow receive each change once, in its latest state', async () => {
@@ -74,11 +74,11 @@
   fixture.publish([{ ...A, isLeaving: true }, B]);
   fixture.publish([{ ...A, isLeaving: true }]);
   const follow = requestOf({ life: first.life, sequence: first.sequence });
-  const news = await fixture.relay.answer(follow);
-  assert.equal(news.isWhole, false);
-  assert.deepEqual(news.written.map(endpointFrom), [{ ...A, isLeaving: true }]);
-  assert.deepEqual(news.removed, ['b']);
-  const next = await fixture.relay.answer({ ...follow, sequence: news.sequence });
+  const update = await fixture.relay.answer(follow);
+  assert.equal(update.isWhole, false);
+  assert.deepEqual(update.written.map(endpointFrom), [{ ...A, isLeaving: true }]);
+  assert.deepEqual(update.removed, ['b']);
+  const next = await fixture.relay.answer({ ...follow, sequence: update.sequence });
   assert.deepEqual([next.written, next.removed], [[], []]);
 });
 
@@ -130,11 +130,11 @@
       for (const [i, ids] of steps.entries()) {
         fixture.publish(ids.map((id) => ({ ...endpoint(id, '10.0.0.1:1'), slots: i + 1 })));
         if (!polls[i] && i < steps.length - 1) continue;
-        const news = await fixture.relay.answer(requestOf(known));
-        if (news.isWhole) held.clear();
-        for (const relayed of news.written) held.set(relayed.id, endpointFrom(relayed));
-        for (const id of news.removed) held.delete(id);
-        known = { life: news.life, sequence: news.sequence };
+        const update = await fixture.relay.answer(requestOf(known));
+        if (update.isWhole) held.clear();
+        for (const relayed of update.written) held.set(relayed.id, endpointFrom(relayed));
+        for (const id of update.removed) held.delete(id);
+        known = { life: update.life, sequence: update.sequence };
       }
       assert.deepEqual(new Map([...held].sort()), new Map([...fixture.state.list].sort()));
     }),
--- a/test/core/published/relayed-source.test.ts
+++ b/test/core/published/relayed-source.test.ts
@@ -268,10 +268,10 @@
     wantsProof: true,
   });
   const startedAtMs = systemClock.nowMs();
-  const news = await relay.relay.answer({ life, sequence, waitMs: 9000, wantsProof: true });
+  const update = await relay.relay.answer({ life, sequence, waitMs: 9000, wantsProof: true });
   const tookMs = systemClock.nowMs() - startedAtMs;
   assert.ok(tookMs > 900 && tookMs < 2000, `${tookMs} ms`);
-  assert.ok(news.provedAgoMs >= 1195);
+  assert.ok(update.provedAgoMs >= 1195);
 });
 
 /**
--- a/test/core/published/source-health.test.ts
+++ b/test/core/published/source-health.test.ts
@@ -18,16 +18,16 @@
   assert.equal(log.noteSuccess(), 0);
   log.noteReceived();
   nowMs = 4200;
-  log.noteFailure({ kind: 'timeout', detail: 'silent' }, 1000);
+  log.noteFailure({ kind: 'timeout', detail: 'no response' }, 1000);
   nowMs = 5000;
-  log.noteFailure({ kind: 'timeout', detail: 'silent' }, 4200);
+  log.noteFailure({ kind: 'timeout', detail: 'no response' }, 4200);
   nowMs = 5100;
   assert.equal(log.noteSuccess(), 900);
   log.noteReceived();
   const [lost, regained] = lines;
   assert.deepEqual(lost, [
     'published.lost',
-    { source: 'store', kind: 'timeout', detail: 'silent', waitedMs: 3200, heardAgoMs: 3200 },
+    { source: 'store', kind: 'timeout', detail: 'no response', waitedMs: 3200, heardAgoMs: 3200 },
   ]);
   assert.deepEqual(regained, [
     'published.regained',
