--- a/test/core/published/source-log.test.ts
+++ b/test/core/published/source-health.test.ts
@@ -2,32 +2,32 @@
 import { test } from 'node:test';
 import { silentLog, type LogFields } from '../../../src/core/logging/index.js';
 import { Metrics } from '../../../src/core/metrics/index.js';
-import { SourceLog } from '../../../src/core/published/source-log.js';
+import { SourceHealth } from '../../../src/core/published/source-health.js';
 
-test('a loss is told once, with the time that was waited and for how long nothing had been heard', () => {
+test('a lost source is logged once, with the time waited and the time since the last response', () => {
   const lines: (readonly [string, LogFields | undefined])[] = [];
-  const note = (event: string, fields?: LogFields): void => void lines.push([event, fields]);
+  const recordLine = (event: string, fields?: LogFields): void => void lines.push([event, fields]);
   const metrics = new Metrics();
   let nowMs = 1000;
-  const log = new SourceLog({
+  const log = new SourceHealth({
     source: { name: 'store' },
     clock: { nowMs: () => nowMs, wallMs: () => nowMs },
-    log: { ...silentLog, info: note, warn: note },
+    log: { ...silentLog, info: recordLine, warn: recordLine },
     metrics,
   });
-  assert.equal(log.worked(), 0);
-  log.heard();
+  assert.equal(log.noteSuccess(), 0);
+  log.noteReceived();
   nowMs = 4200;
-  log.failed({ kind: 'timeout', detail: 'silent' }, 1000);
+  log.noteFailure({ kind: 'timeout', detail: 'no response' }, 1000);
   nowMs = 5000;
-  log.failed({ kind: 'timeout', detail: 'silent' }, 4200);
+  log.noteFailure({ kind: 'timeout', detail: 'no response' }, 4200);
   nowMs = 5100;
-  assert.equal(log.worked(), 900);
-  log.heard();
+  assert.equal(log.noteSuccess(), 900);
+  log.noteReceived();
   const [lost, regained] = lines;
   assert.deepEqual(lost, [
     'published.lost',
-    { source: 'store', kind: 'timeout', detail: 'silent', waitedMs: 3200, heardAgoMs: 3200 },
+    { source: 'store', kind: 'timeout', detail: 'no response', waitedMs: 3200, heardAgoMs: 3200 },
   ]);
   assert.deepEqual(regained, [
     'published.regained',
