--- a/src/core/config-feed/accept.ts
+++ b/src/core/config-feed/accept.ts
@@ -10,7 +10,7 @@
 } from '../../generated/configuration.types.js';
 import validateDocument from '../../generated/configuration.validator.js';
 import { HarriergladeError, notRun } from '../errors/index.js';
-import { faultsOf } from '../settings/index.js';
+import { validationErrors } from '../settings/index.js';
 
 /**
  * JSON with sorted keys and no spaces: the same text for equal values.
@@ -71,7 +71,7 @@
  * Faults of a body that a schema cannot express.
  * @example bodyFaults(body) // ['organisation "rwandair" stands twice; keep one']
  */
-export function bodyFaults(body: ConfigurationBody): string[] {
+export function bodyErrors(body: ConfigurationBody): string[] {
   return [
     ...repeated(
       'organisation',
@@ -109,7 +109,7 @@
 export function judgeDocument(data: unknown): Result<ConfigurationDocument, HarriergladeError> {
   // The document's schema has no defaults: what is passed on must keep its digest.
   const digest = bodyDigest((data as { body?: unknown } | null)?.body);
-  const faults = faultsOf(validateDocument, data, () => []);
+  const faults = validationErrors(validateDocument, data, () => []);
   if (faults.length > 0)
     return Err(notRun('document-invalid', `${faults.slice(0, 10).join('; ')}.`));
   const doc = data as ConfigurationDocument;
@@ -123,7 +123,7 @@
       ),
     );
   }
-  const content = bodyFaults(doc.body);
+  const content = bodyErrors(doc.body);
   if (content.length > 0)
     return Err(notRun('document-invalid', `${content.slice(0, 10).join('; ')}.`));
   return Ok(doc);
--- a/src/core/events/confirm.ts
+++ b/src/core/events/confirm.ts
@@ -1,5 +1,5 @@
 /** Confirms a plan: only while it still rests on the version in force. */
-import { bodyDigest, bodyFaults } from '../config-feed/index.js';
+import { bodyDigest, bodyErrors } from '../config-feed/index.js';
 import { notRun, type HarriergladeError } from '../errors/index.js';
 import { Err, Ok, type Result } from '../result/index.js';
 import type { ConfigurationDocument, EventPlan, Publication } from './types.js';
@@ -43,7 +43,7 @@
     return Err(notRun('plan-stale', 'The event has started already.'));
   const others = (doc.body.events ?? []).filter((e) => e.id !== plan.event.id);
   const body = { ...doc.body, events: [...others, plan.event] };
-  const faults = bodyFaults(body);
+  const faults = bodyErrors(body);
   if (faults.length > 0) return Err(notRun('document-invalid', `${faults.join('; ')}.`));
   return Ok({ basedOn: newest, digest: bodyDigest(body), body });
 }
--- a/src/core/events/plan.ts
+++ b/src/core/events/plan.ts
@@ -4,7 +4,7 @@
 import { SACRIFICE_FROM_PRESSURE } from '../admission/index.js';
 import { notRun, type HarriergladeError } from '../errors/index.js';
 import { Err, Ok, type Result } from '../result/index.js';
-import { faultsOf, nearestName } from '../settings/index.js';
+import { validationErrors, nearestName } from '../settings/index.js';
 import type {
   ConfigurationDocument,
   EventConfig,
@@ -183,7 +183,7 @@
   doc: ConfigurationDocument,
   nowMs: number,
 ): Result<EventPlan, HarriergladeError> {
-  const faults = faultsOf(validateIntent, data, (path) => INTENT_KEYS[path] ?? []);
+  const faults = validationErrors(validateIntent, data, (path) => INTENT_KEYS[path] ?? []);
   if (faults.length > 0) return Err(notRun('intent-invalid', `${faults.join('; ')}.`));
   const intent = data as EventIntent;
   const content = intentFaults(intent, doc.body, nowMs);
--- a/src/core/settings/settings.ts
+++ b/src/core/settings/settings.ts
@@ -47,7 +47,11 @@
  * Runs a generated validator and lists every fault in words.
  * @example faultsOf(validate, { role: 'entri' }, knownKeys) // ['/role: value "entri"; use one of entry, agent']
  */
-export function faultsOf(validate: Validator, data: unknown, knownKeys: KnownKeys): string[] {
+export function validationErrors(
+  validate: Validator,
+  data: unknown,
+  knownKeys: KnownKeys,
+): string[] {
   if (validate(data)) return [];
   return (validate.errors ?? []).map((err) => {
     const properties = Object.fromEntries(knownKeys(err.instancePath).map((k) => [k, true]));
@@ -105,7 +109,7 @@
     peers: [],
     ...structuredClone(data),
   };
-  const faults = faultsOf(validateSettings, filled, (path) => SETTINGS_KEYS[path] ?? []);
+  const faults = validationErrors(validateSettings, filled, (path) => SETTINGS_KEYS[path] ?? []);
   if (faults.length === 0) faults.push(...roleFaults(filled as unknown as Settings));
   if (faults.length > 0) return Err(notRun('settings-invalid', `${faults.join('; ')}.`));
   return Ok(filled as unknown as FullSettings);
