--- a/src/core/config-feed/accept.ts
+++ b/src/core/config-feed/check-document.ts
@@ -1,6 +1,6 @@
 /**
- * Judges a published configuration document. The verdict on a document's content follows from the
- * document alone, so that every daemon gives the same one whatever it has seen before.
+ * Checks published configuration documents. The result depends on the document alone, not on
+ * earlier versions, so every daemon reaches the same result.
  */
 import { hash } from 'node:crypto';
 import { Err, Ok, type Result } from '../result/index.js';
@@ -13,7 +13,7 @@
 import { validationErrors } from '../settings/index.js';
 
 /**
- * JSON with sorted keys and no spaces: the same text for equal values.
+ * Serializes a value to JSON with sorted keys and no whitespace; equal values give equal text.
  * @example canonicalJson({ b: 1, a: 2 }) // '{"a":2,"b":1}'
  */
 export function canonicalJson(value: unknown): string {
@@ -27,7 +27,7 @@
 }
 
 /**
- * SHA-256 of a body's canonical JSON, hex.
+ * Returns the SHA-256 of a body's canonical JSON, in hex.
  * @example bodyDigest(doc.body) === doc.digest
  */
 export function bodyDigest(body: unknown): string {
@@ -35,96 +35,100 @@
 }
 
 /**
- * SHA-256 of a bearer key, the only form in which keys are published.
+ * Returns the SHA-256 of a bearer key, in hex. Keys are published only as hashes.
  * @example keyHash('secret').length // 64
  */
 export function keyHash(key: string): string {
   return hash('sha256', key, 'hex');
 }
 
-function repeated(what: string, ids: readonly string[]): string[] {
+function duplicateErrors(kind: string, ids: readonly string[]): string[] {
   const seen = new Set<string>();
-  const twice = new Set<string>();
-  for (const id of ids) (seen.has(id) ? twice : seen).add(id);
-  return [...twice].map((id) => `${what} "${id}" stands twice; keep one`);
+  const duplicates = new Set<string>();
+  for (const id of ids) (seen.has(id) ? duplicates : seen).add(id);
+  return [...duplicates].map((id) => `${kind} "${id}" stands twice; keep one`);
 }
 
-function groupFaults(body: ConfigurationBody): string[] {
-  const faults: string[] = [];
+function groupErrors(body: ConfigurationBody): string[] {
+  const errors: string[] = [];
   for (const group of body.groups) {
     const slots = group.slotsPerRank * group.endpoints.length;
     if (slots >= group.experts) continue;
-    faults.push(
+    errors.push(
       `group "${group.id}" has ${slots} slots for ${group.experts} experts; raise slotsPerRank`,
     );
   }
-  return faults;
+  return errors;
 }
 
-function serviceFaults(body: ConfigurationBody): string[] {
+function serviceErrors(body: ConfigurationBody): string[] {
   return body.services.flatMap((service) =>
-    repeated(`endpoint of service "${service.id}"`, service.endpoints),
+    duplicateErrors(`endpoint of service "${service.id}"`, service.endpoints),
   );
 }
 
 /**
- * Faults of a body that a schema cannot express.
- * @example bodyFaults(body) // ['organisation "rwandair" stands twice; keep one']
+ * Lists errors in a body that a JSON schema cannot express.
+ * @example bodyErrors(body) // ['organisation "rwandair" stands twice; keep one']
  */
 export function bodyErrors(body: ConfigurationBody): string[] {
   return [
-    ...repeated(
+    ...duplicateErrors(
       'organisation',
       body.organisations.map((o) => o.id),
     ),
-    ...repeated(
+    ...duplicateErrors(
       'key hash',
       body.organisations.map((o) => o.keySha256),
     ),
-    ...repeated(
+    ...duplicateErrors(
       'model',
       body.models.map((m) => m.id),
     ),
-    ...repeated(
+    ...duplicateErrors(
       'service',
       body.services.map((s) => s.id),
     ),
-    ...repeated(
+    ...duplicateErrors(
       'group',
       body.groups.map((g) => g.id),
     ),
-    ...repeated(
+    ...duplicateErrors(
       'event',
       (body.events ?? []).map((e) => e.id),
     ),
-    ...groupFaults(body),
-    ...serviceFaults(body),
+    ...groupErrors(body),
+    ...serviceErrors(body),
   ];
 }
 
 /**
- * Judges a document from itself alone: shape, digest, content, and whether its author raced another.
- * @example judgeDocument(await res.json()).err // true when basedOn is not version - 1
+ * Checks a document's schema, digest, base version and content. A `basedOn` other than
+ * `version - 1` means that another author published a version in between.
+ * @example checkDocument(await res.json()).err // true when basedOn is not version - 1
  */
 export function judgeDocument(data: unknown): Result<ConfigurationDocument, HarriergladeError> {
-  // The document's schema has no defaults: what is passed on must keep its digest.
+  // The schema has no defaults: a validator that filled them in would change the digest of a
+  // document that is passed on to peers.
   const digest = bodyDigest((data as { body?: unknown } | null)?.body);
-  const faults = validationErrors(validateDocument, data, () => []);
-  if (faults.length > 0)
-    return Err(notRun('document-invalid', `${faults.slice(0, 10).join('; ')}.`));
+  const shapeErrors = validationErrors(validateDocument, data, () => []);
+  if (shapeErrors.length > 0)
+    return Err(notRun('document-invalid', `${shapeErrors.slice(0, 10).join('; ')}.`));
   const doc = data as ConfigurationDocument;
   if (digest !== doc.digest)
-    return Err(notRun('document-digest', `Version ${doc.version} has digest ${digest}.`));
+    return Err(
+      notRun('document-digest', `The body of version ${doc.version} has digest ${digest}.`),
+    );
   if (doc.basedOn !== doc.version - 1) {
     return Err(
       notRun(
         'document-raced',
-        `Version ${doc.version} was made from ${doc.basedOn}, not from ${doc.version - 1}.`,
+        `Version ${doc.version} is based on ${doc.basedOn} instead of ${doc.version - 1}.`,
       ),
     );
   }
-  const content = bodyErrors(doc.body);
-  if (content.length > 0)
-    return Err(notRun('document-invalid', `${content.slice(0, 10).join('; ')}.`));
+  const contentErrors = bodyErrors(doc.body);
+  if (contentErrors.length > 0)
+    return Err(notRun('document-invalid', `${contentErrors.slice(0, 10).join('; ')}.`));
   return Ok(doc);
 }
--- a/src/core/config-feed/delta.ts
+++ b/src/core/config-feed/delta.ts
@@ -1,34 +1,34 @@
 /**
- * What changed between two versions, so that a relay does not send each follower the whole document
- * for every change. Whoever rebuilds a document checks its digest; where that fails it asks for the
- * whole one, so a delta can cost a message but never a wrong configuration.
+ * Deltas between two versions, so that a relay need not send the full document to every follower
+ * on each change. The receiver checks the digest of the rebuilt document and requests the full one
+ * on a mismatch, so a bad delta costs one extra message but never a wrong configuration.
  */
 import type { ConfigurationDocument } from '../../generated/configuration.types.js';
 import type { InstanceList } from '../../generated/instances.types.js';
 
-/** Change of one list of named items. */
+/** Changes to a list of keyed items. */
 export interface ItemsDelta {
-  /** Items that are new or changed, whole. */
+  /** New or changed items, in full. */
   readonly set: readonly object[];
-  /** Names of items that are gone. */
+  /** Keys of removed items. */
   readonly remove: readonly string[];
 }
 
-/** Change of one part of a body: named items, or the whole part. */
+/** Change of one top-level part of a body: item by item, or the full new value. */
 export type PartDelta = { readonly items: ItemsDelta } | { readonly whole: unknown };
 
-/** From one document to another. */
+/** Changes from configuration version `from` to `version`. */
 export interface ConfigDelta {
   readonly from: number;
   readonly version: number;
   readonly basedOn: number;
   readonly digest: string;
   readonly parts: Record<string, PartDelta>;
-  /** Parts that are gone. */
+  /** Names of removed parts. */
   readonly dropped: readonly string[];
 }
 
-/** From one list of instances to another. */
+/** Changes from instance list version `from` to `version`. */
 export interface ListDelta {
   readonly from: number;
   readonly version: number;
@@ -37,37 +37,37 @@
 
 type Item = Record<string, unknown>;
 
-function isNamedList(value: unknown, name: string): value is Item[] {
+function isKeyedList(value: unknown, key: string): value is Item[] {
   return (
-    Array.isArray(value) && value.every((item) => typeof (item as Item | null)?.[name] === 'string')
+    Array.isArray(value) && value.every((item) => typeof (item as Item | null)?.[key] === 'string')
   );
 }
 
-function diffItems(before: readonly Item[], after: readonly Item[], name: string): ItemsDelta {
-  const old = new Map(before.map((item) => [item[name], JSON.stringify(item)]));
-  const now = new Set(after.map((item) => item[name]));
+function diffItems(before: readonly Item[], after: readonly Item[], key: string): ItemsDelta {
+  const serializedBefore = new Map(before.map((item) => [item[key], JSON.stringify(item)]));
+  const keysAfter = new Set(after.map((item) => item[key]));
   return {
-    set: after.filter((item) => old.get(item[name]) !== JSON.stringify(item)),
-    remove: before.filter((item) => !now.has(item[name])).map((item) => String(item[name])),
+    set: after.filter((item) => serializedBefore.get(item[key]) !== JSON.stringify(item)),
+    remove: before.filter((item) => !keysAfter.has(item[key])).map((item) => String(item[key])),
   };
 }
 
-/** Keeps the order of what stays; what is new comes last. */
-function applyItems(before: readonly Item[], delta: ItemsDelta, name: string): Item[] {
-  const set = new Map(delta.set.map((item) => [(item as Item)[name], item as Item]));
+/** Applies a delta. Existing items keep their order; new ones are appended. */
+function applyItems(before: readonly Item[], delta: ItemsDelta, key: string): Item[] {
+  const updates = new Map(delta.set.map((item) => [(item as Item)[key], item as Item]));
   const removed = new Set(delta.remove);
   const kept = before
-    .filter((item) => !removed.has(String(item[name])))
-    .map((item) => set.get(item[name]) ?? item);
-  const known = new Set(before.map((item) => item[name]));
-  return [...kept, ...[...set.values()].filter((item) => !known.has(item[name]))];
+    .filter((item) => !removed.has(String(item[key])))
+    .map((item) => updates.get(item[key]) ?? item);
+  const keysBefore = new Set(before.map((item) => item[key]));
+  return [...kept, ...[...updates.values()].filter((item) => !keysBefore.has(item[key]))];
 }
 
-const PART_NAME = 'id';
-const INSTANCE_NAME = 'instance';
+const PART_KEY = 'id';
+const INSTANCE_KEY = 'instance';
 
 /**
- * What changed from one document to another.
+ * Computes the delta from one document to another.
  * @example diffConfig(previous, next).parts // { events: { items: { set: [event], remove: [] } } }
  */
 export function diffConfig(
@@ -75,14 +75,14 @@
   after: ConfigurationDocument,
 ): ConfigDelta {
   const parts: Record<string, PartDelta> = {};
-  const old = before.body as unknown as Record<string, unknown>;
+  const oldBody = before.body as unknown as Record<string, unknown>;
   for (const [name, value] of Object.entries(after.body)) {
-    const held = old[name];
-    if (JSON.stringify(held) === JSON.stringify(value)) continue;
-    const named = isNamedList(held, PART_NAME) && isNamedList(value, PART_NAME);
-    parts[name] = named ? { items: diffItems(held, value, PART_NAME) } : { whole: value };
+    const previous = oldBody[name];
+    if (JSON.stringify(previous) === JSON.stringify(value)) continue;
+    const keyed = isKeyedList(previous, PART_KEY) && isKeyedList(value, PART_KEY);
+    parts[name] = keyed ? { items: diffItems(previous, value, PART_KEY) } : { whole: value };
   }
-  const dropped = Object.keys(old).filter((name) => !Object.hasOwn(after.body, name));
+  const dropped = Object.keys(oldBody).filter((name) => !Object.hasOwn(after.body, name));
   return {
     from: before.version,
     version: after.version,
@@ -94,37 +94,37 @@
 }
 
 /**
- * The document that a delta makes of the one held; it still has to be judged.
- * @example store.offerConfig(applyConfig(held, delta), 'peer')
+ * Applies a delta to a document. The result is unchecked.
+ * @example store.offerConfig(applyConfig(current, delta), 'peer')
  */
 export function applyConfig(before: ConfigurationDocument, delta: ConfigDelta): unknown {
   const body: Record<string, unknown> = { ...before.body };
   for (const name of delta.dropped) delete body[name];
   for (const [name, part] of Object.entries(delta.parts)) {
-    const held = body[name];
+    const previous = body[name];
     body[name] =
       'whole' in part
         ? part.whole
-        : applyItems(isNamedList(held, PART_NAME) ? held : [], part.items, PART_NAME);
+        : applyItems(isKeyedList(previous, PART_KEY) ? previous : [], part.items, PART_KEY);
   }
   return { version: delta.version, basedOn: delta.basedOn, digest: delta.digest, body };
 }
 
 /**
- * What changed from one list to another.
+ * Computes the delta from one instance list to another.
  * @example diffList(previous, next).items.remove // ['kgl-a-entry-1']
  */
 export function diffList(before: InstanceList, after: InstanceList): ListDelta {
   const items = diffItems(
     before.instances as unknown as Item[],
     after.instances as unknown as Item[],
-    INSTANCE_NAME,
+    INSTANCE_KEY,
   );
   return { from: before.version, version: after.version, items };
 }
 
-/** The list that a delta makes of the one held; it still has to be checked. */
+/** Applies a delta to an instance list. The result is unchecked. */
 export function applyList(before: InstanceList, delta: ListDelta): unknown {
-  const instances = applyItems(before.instances as unknown as Item[], delta.items, INSTANCE_NAME);
+  const instances = applyItems(before.instances as unknown as Item[], delta.items, INSTANCE_KEY);
   return { version: delta.version, instances };
 }
--- a/src/core/config-feed/empty.ts
+++ b/src/core/config-feed/empty-body.ts
@@ -1,4 +1,4 @@
-/** A body that names nothing; what is not asked of a document can be left as it is here. */
+/** A body without organisations, models, services or groups, to build partial documents from. */
 import type { ConfigurationBody } from '../../generated/configuration.types.js';
 
 export const EMPTY_BODY: ConfigurationBody = {
--- a/src/core/config-feed/feed.ts
+++ b/src/core/config-feed/feed.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the store up to date. In each data centre the few daemons that come first by rendezvous hash
- * watch the platform; all others watch one of those, and read the platform themselves, after a
- * jittered pause, only while their relay is silent.
+ * Keeps the store up to date. In each data centre a few daemons, chosen by rendezvous hash, watch
+ * the platform as relays. All others watch a relay, and read the platform themselves, after a
+ * jittered delay, only while their relays are unresponsive.
  */
 import { sleep, type Clock, type Random } from '../clock/index.js';
 import { isTimeout } from '../errors/index.js';
@@ -11,13 +11,13 @@
 import type { Metrics } from '../metrics/index.js';
 import type { FeedStore, FeedUpdate, Versions } from './store.js';
 
-/** What the platform gives: a watch that waits for a version above the one held. */
+/** Long-poll watches of the platform; each waits for a version above the given one. */
 export interface PlatformClient {
-  watchConfig(above: number, waitMs: number, signal: AbortSignal): Promise<unknown>;
-  watchList(above: number, waitMs: number, signal: AbortSignal): Promise<unknown>;
+  watchConfig(aboveVersion: number, waitMs: number, signal: AbortSignal): Promise<unknown>;
+  watchList(aboveVersion: number, waitMs: number, signal: AbortSignal): Promise<unknown>;
 }
 
-/** What a peer gives. */
+/** Watches a peer for updates to the given versions; undefined when there are none within `waitMs`. */
 export type WatchPeer = (
   address: string,
   held: Versions,
@@ -25,7 +25,7 @@
   signal: AbortSignal,
 ) => Promise<FeedUpdate | undefined>;
 
-/** All that the feed's tasks need. */
+/** Dependencies and timing settings of the feed. */
 export interface FeedOptions {
   readonly self: InstanceId;
   readonly dataCentre: string;
@@ -43,37 +43,42 @@
   readonly metrics: Metrics;
 }
 
-/** Daemons of one data centre that watch the platform for the others. */
+/** Number of daemons in each data centre that watch the platform for the others. */
 export const RELAYS_PER_DATA_CENTRE = 2;
-/** Pause between two comparisons of versions with another daemon: this part of a watch's wait, and at most so many ms. */
-const EXCHANGE_SHARE = 0.6;
-const MAX_EXCHANGE_MS = 5000;
+/** Interval between version exchanges with a random peer: this ratio of a watch's wait, capped. */
+const EXCHANGE_INTERVAL_RATIO = 0.6;
+const MAX_EXCHANGE_INTERVAL_MS = 5000;
 
 function jittered(meanMs: number, random: Random): number {
   return meanMs * (0.5 + random());
 }
 
-/** Addresses of all other daemons; the list names endpoints as well, which must not be asked. */
-function otherAddresses(options: FeedOptions): string[] {
+/** Addresses of all other daemons. The list also holds endpoints, which do not serve the feed. */
+function peerAddresses(options: FeedOptions): string[] {
   const listed = options
     .view()
     .all.filter((i) => i.instance !== options.self && i.role !== 'endpoint');
   return listed.length > 0 ? listed.map((i) => i.address) : [...options.seeds];
 }
 
-function pick<T>(items: readonly T[], random: Random): T | undefined {
+function pickRandom<T>(items: readonly T[], random: Random): T | undefined {
   return items[Math.floor(random() * items.length)];
 }
 
-async function askPeer(
+async function requestUpdate(
   options: FeedOptions,
   address: string,
   waitMs: number,
   signal: AbortSignal,
 ): Promise<boolean> {
   try {
-    const update = await options.watchPeer(address, options.store.asking(), waitMs, signal);
-    if (update) options.store.offer(update, address);
+    const update = await options.watchPeer(
+      address,
+      options.store.requestedVersions(),
+      waitMs,
+      signal,
+    );
+    if (update) options.store.offerUpdate(update, address);
     return true;
   } catch {
     options.metrics.count('feed_peer_failures_total');
@@ -87,12 +92,12 @@
   signal: AbortSignal,
 ): Promise<boolean> {
   const { store, platform, metrics } = options;
-  const held = store.seen();
+  const handled = store.handledVersions();
   metrics.count('platform_reads_total', {}, 2);
-  const config = platform.watchConfig(held.config, waitMs, signal).then((data) => {
+  const config = platform.watchConfig(handled.config, waitMs, signal).then((data) => {
     if (data) store.offerConfig(data, 'platform');
   });
-  const list = platform.watchList(held.list, waitMs, signal).then((data) => {
+  const list = platform.watchList(handled.list, waitMs, signal).then((data) => {
     if (data) store.offerList(data, 'platform');
   });
   const results = await Promise.allSettled([config, list]);
@@ -101,8 +106,8 @@
   return failed === 0;
 }
 
-/** One of the two watches at the platform, repeated while this daemon is a relay. */
-async function watchOne(
+/** Repeats one of the two platform watches while this daemon is a relay. */
+async function watchPlatform(
   options: FeedOptions,
   what: 'config' | 'list',
   signal: AbortSignal,
@@ -111,67 +116,71 @@
   while (!signal.aborted) {
     metrics.count('platform_reads_total');
     try {
-      const held = store.seen()[what];
+      const handled = store.handledVersions()[what];
       const watch = what === 'config' ? platform.watchConfig : platform.watchList;
-      const data = await watch(held, options.watchMs, signal);
-      const taken = data
+      const data = await watch(handled, options.watchMs, signal);
+      const accepted = data
         ? what === 'config'
           ? store.offerConfig(data, 'platform')
           : store.offerList(data, 'platform')
         : true;
-      // A document that was altered on its way comes again: do not spin on it.
-      if (!taken) await sleep(jittered(options.fallbackMs, options.random), signal);
+      // A document corrupted in transit is returned again by the next watch: avoid a busy loop.
+      if (!accepted) await sleep(jittered(options.fallbackMs, options.random), signal);
     } catch (err) {
       if (signal.aborted) return;
       metrics.count('platform_failures_total');
-      // A watch without an answer has waited long enough, and its connection may have fallen silent alone: with the pause
-      // a change was in force 13 s later in place of 10 s, of 14 s that it has.
+      // A watch that timed out has already waited, and perhaps only its connection stalled: retry
+      // without a delay. With one, a change took effect after 13 s instead of 10 s; the limit is 14 s.
       if (isTimeout(err)) continue;
       await sleep(jittered(options.fallbackMs, options.random), signal);
     }
   }
 }
 
-/** Compares versions with some daemon anywhere, so that a stale platform cannot hold a site back. */
+/** Exchanges versions with random peers, so that a stale platform cannot keep a data centre outdated. */
 async function exchangeVersions(options: FeedOptions, signal: AbortSignal): Promise<void> {
-  const pauseMs = Math.min(MAX_EXCHANGE_MS, options.watchMs * EXCHANGE_SHARE);
+  const pauseMs = Math.min(MAX_EXCHANGE_INTERVAL_MS, options.watchMs * EXCHANGE_INTERVAL_RATIO);
   while (!signal.aborted) {
     await sleep(jittered(pauseMs, options.random), signal);
-    const address = pick(otherAddresses(options), options.random);
-    if (address && !signal.aborted) await askPeer(options, address, 0, signal);
+    const address = pickRandom(peerAddresses(options), options.random);
+    if (address && !signal.aborted) await requestUpdate(options, address, 0, signal);
   }
 }
 
-/** At start: hears some peers, and the platform where they know nothing, before anything is taken for granted. */
-async function startUp(options: FeedOptions, signal: AbortSignal): Promise<void> {
-  const until = options.clock.nowMs() + options.startMs;
-  await Promise.all(options.seeds.slice(0, 3).map((s) => askPeer(options, s, 0, signal)));
+/**
+ * Loads the initial state before anything relies on it: from some peers, and from the platform when
+ * those have none.
+ */
+async function loadInitialState(options: FeedOptions, signal: AbortSignal): Promise<void> {
+  const deadlineMs = options.clock.nowMs() + options.startMs;
+  await Promise.all(options.seeds.slice(0, 3).map((s) => requestUpdate(options, s, 0, signal)));
   const { config, list } = options.store.versions();
   if (config === 0 || list === 0) {
-    // Where a whole fleet restarts at once nobody knows anything yet: the reads spread over the time.
+    // When the whole fleet restarts, no peer has any state: spread the platform reads over startMs.
     if (options.seeds.length > 0) await sleep(options.startMs * options.random(), signal);
     await readPlatform(options, 0, signal);
   }
-  const asked = new Set<string>();
-  while (!signal.aborted && options.clock.nowMs() < until) {
-    const next = pick(
-      otherAddresses(options).filter((a) => !asked.has(a)),
+  const contacted = new Set<string>();
+  while (!signal.aborted && options.clock.nowMs() < deadlineMs) {
+    const address = pickRandom(
+      peerAddresses(options).filter((a) => !contacted.has(a)),
       options.random,
     );
-    if (!next) return;
-    asked.add(next);
-    if ((await askPeer(options, next, 0, signal)) && asked.size >= 2) return;
+    if (!address) return;
+    contacted.add(address);
+    if ((await requestUpdate(options, address, 0, signal)) && contacted.size >= 2) return;
   }
 }
 
-async function relay(options: FeedOptions, signal: AbortSignal): Promise<void> {
-  const turn = new AbortController();
-  const stop = (): void => turn.abort();
+/** Watches the platform and exchanges versions until this daemon is no longer a relay. */
+async function runRelay(options: FeedOptions, signal: AbortSignal): Promise<void> {
+  const relayAbort = new AbortController();
+  const stop = (): void => relayAbort.abort();
   signal.addEventListener('abort', stop, { once: true });
   const tasks = [
-    watchOne(options, 'config', turn.signal),
-    watchOne(options, 'list', turn.signal),
-    exchangeVersions(options, turn.signal),
+    watchPlatform(options, 'config', relayAbort.signal),
+    watchPlatform(options, 'list', relayAbort.signal),
+    exchangeVersions(options, relayAbort.signal),
   ];
   while (!signal.aborted && isRelay(options))
     await options.store.waitNewer(options.store.versions(), 1000);
@@ -185,35 +194,36 @@
   return relays.length === 0 || relays.some((r) => r.instance === options.self);
 }
 
-/** Follows the relays one after another; false when none of them answered. */
-async function follow(options: FeedOptions, signal: AbortSignal): Promise<boolean> {
+/** Watches the relays in random order; returns false when none of them responded. */
+async function followRelays(options: FeedOptions, signal: AbortSignal): Promise<boolean> {
   const relays = relaysOf(options.view(), options.dataCentre, RELAYS_PER_DATA_CENTRE);
-  const first = options.random() < 0.5 ? relays : [...relays].reverse();
-  for (const relayInstance of first) {
-    if (await askPeer(options, relayInstance.address, options.watchMs, signal)) return true;
+  const ordered = options.random() < 0.5 ? relays : [...relays].reverse();
+  for (const relay of ordered) {
+    if (await requestUpdate(options, relay.address, options.watchMs, signal)) return true;
   }
   return false;
 }
 
 /**
- * Runs the feed until the signal aborts; resolves `ready` once published state was heard or given up.
+ * Runs the feed until the signal aborts. `started` resolves once the initial state is loaded, or
+ * after the attempts to load it have ended without success.
  * @example const feed = runFeed(options, controller.signal); await feed.started;
  */
 export function runFeed(
   options: FeedOptions,
   signal: AbortSignal,
 ): { started: Promise<void>; ended: Promise<void> } {
-  const started = startUp(options, signal);
+  const started = loadInitialState(options, signal);
   const ended = (async (): Promise<void> => {
     await started;
     while (!signal.aborted) {
-      if (isRelay(options)) await relay(options, signal);
-      else if (!(await follow(options, signal))) {
+      if (isRelay(options)) await runRelay(options, signal);
+      else if (!(await followRelays(options, signal))) {
         options.metrics.count('feed_fallbacks_total');
         await sleep(jittered(options.fallbackMs, options.random), signal);
         await readPlatform(options, 0, signal);
-        const anyone = pick(otherAddresses(options), options.random);
-        if (anyone) await askPeer(options, anyone, 0, signal);
+        const peer = pickRandom(peerAddresses(options), options.random);
+        if (peer) await requestUpdate(options, peer, 0, signal);
       }
     }
   })();
--- a/src/core/config-feed/index.ts
+++ b/src/core/config-feed/index.ts
@@ -1,5 +1,5 @@
-export * from './accept.js';
+export * from './check-document.js';
 export * from './delta.js';
-export * from './empty.js';
+export * from './empty-body.js';
 export * from './feed.js';
 export * from './store.js';
--- a/src/core/config-feed/store.ts
+++ b/src/core/config-feed/store.ts
@@ -1,6 +1,6 @@
 /**
- * What a daemon believes of the published state: the document in force and the list of instances.
- * Both only ever rise in version; readers wait here for the next rise.
+ * The published state as one daemon holds it: the configuration document in force and the instance
+ * list. Their versions only increase, and readers can wait for the next increase.
  */
 import type { ConfigurationDocument } from '../../generated/configuration.types.js';
 import type { InstanceList } from '../../generated/instances.types.js';
@@ -8,7 +8,7 @@
 import { Changes, type Clock } from '../clock/index.js';
 import type { Log } from '../logging/index.js';
 import type { Metrics } from '../metrics/index.js';
-import { judgeDocument } from './accept.js';
+import { judgeDocument } from './check-document.js';
 import {
   applyConfig,
   applyList,
@@ -18,42 +18,42 @@
   type ListDelta,
 } from './delta.js';
 
-/** Versions held, 0 for none. */
+/** Versions that a daemon holds; 0 for none. */
 export interface Versions {
   readonly config: number;
   readonly list: number;
 }
 
-/** What one daemon passes to another that is behind. */
+/** Update for a peer that holds older versions. */
 export interface FeedUpdate {
   readonly config?: ConfigurationDocument;
   readonly list?: InstanceList;
-  /** In place of a whole one, for whoever holds the version just before. */
+  /** Replaces the full document for a peer that holds the preceding version. */
   readonly configDelta?: ConfigDelta;
   readonly listDelta?: ListDelta;
 }
 
-/** One document that was refused, for `harrierglade status`. */
+/** A refused document, shown by `harrierglade status`. */
 export interface RefusedDocument {
   readonly version: number;
   readonly reason: string;
   readonly detail: string;
 }
 
-const KEPT_REFUSALS = 16;
+const MAX_REFUSED_DOCUMENTS = 16;
 
-/** The published state as this daemon holds it. */
+/** Holds the newest valid document and instance list. */
 export class FeedStore {
   private doc: ConfigurationDocument | undefined;
   private instances: InstanceList | undefined;
-  /** From the version held before to the one held now, made when first asked for. */
+  /** Delta from the previous version to the current one, computed on first use. */
   private configDelta: (() => ConfigDelta) | undefined;
   private listDelta: (() => ListDelta) | undefined;
-  private wantsWhole = false;
+  private needsFullDocument = false;
   private readonly changes = new Changes();
   private readonly listeners = new Set<() => void>();
   private readonly refusedVersions = new Map<number, RefusedDocument>();
-  private acceptedAt = 0;
+  private acceptedAtMs = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -69,9 +69,9 @@
     return this.instances;
   }
 
-  /** Monotonic time of the last accepted document, ms. */
-  get configSinceMs(): number {
-    return this.acceptedAt;
+  /** Monotonic time at which the current document was accepted, ms. */
+  get configAcceptedAtMs(): number {
+    return this.acceptedAtMs;
   }
 
   get refused(): readonly RefusedDocument[] {
@@ -83,40 +83,40 @@
   }
 
   /**
-   * Versions above which anything from the platform is news: what is held, or was refused for good.
-   * @example platform.watchConfig(store.seen().config, waitMs, signal)
+   * Newest versions already handled, accepted or refused; the platform is watched for newer ones.
+   * @example platform.watchConfig(store.handledVersions().config, waitMs, signal)
    */
-  seen(): Versions {
+  handledVersions(): Versions {
     const { config, list } = this.versions();
     return { config: Math.max(config, ...this.refusedVersions.keys()), list };
   }
 
   /**
-   * Takes a document if it is valid and newer than the one in force.
+   * Accepts a document if it is valid and newer than the one in force.
    * @example store.offerConfig(await res.json(), 'platform') // true when it is now in force
    */
   offerConfig(data: unknown, from: string): boolean {
     const version = Number((data as { version?: unknown } | null)?.version);
-    if (version <= this.versions().config) return this.keepOld('config');
+    if (version <= this.versions().config) return this.countStale('config');
     if (this.refusedVersions.has(version)) return false;
-    const verdict = judgeDocument(data);
-    if (verdict.err) return this.refuse(version, verdict.val.reason, verdict.val.facts, from);
+    const result = judgeDocument(data);
+    if (result.err) return this.rejectDocument(version, result.val.reason, result.val.facts, from);
     const before = this.doc;
-    const after = verdict.val;
+    const after = result.val;
     this.doc = after;
-    this.wantsWhole = false;
-    this.configDelta = before && once(() => diffConfig(before, after));
-    this.acceptedAt = this.clock.nowMs();
+    this.needsFullDocument = false;
+    this.configDelta = before && lazy(() => diffConfig(before, after));
+    this.acceptedAtMs = this.clock.nowMs();
     this.log.info('config.accepted', { version, from, wall: this.clock.wallMs() });
     this.metrics.count('config_accepted_total');
-    this.wake();
+    this.notifyListeners();
     return true;
   }
 
-  /** Takes a list if it is valid and newer than the one held. */
+  /** Accepts an instance list if it is valid and newer than the current one. */
   offerList(data: unknown, from: string): boolean {
     const version = Number((data as { version?: unknown } | null)?.version);
-    if (version <= this.versions().list) return this.keepOld('list');
+    if (version <= this.versions().list) return this.countStale('list');
     if (!validateList(data)) {
       this.metrics.count('list_refused_total', { reason: 'invalid' });
       this.log.warn('list.refused', {
@@ -129,25 +129,28 @@
     const before = this.instances;
     const after = data as InstanceList;
     this.instances = after;
-    this.listDelta = before && once(() => diffList(before, after));
+    this.listDelta = before && lazy(() => diffList(before, after));
     this.log.debug('list.accepted', { version, from });
-    this.wake();
+    this.notifyListeners();
     return true;
   }
 
-  /** What to tell a peer that one holds: nothing, where a delta failed and the whole is wanted. */
-  asking(): Versions {
-    return this.wantsWhole ? { ...this.versions(), config: 0 } : this.versions();
+  /**
+   * Versions to send to a peer when requesting updates. After a failed delta the configuration
+   * version is 0, so that the peer sends the full document.
+   */
+  requestedVersions(): Versions {
+    return this.needsFullDocument ? { ...this.versions(), config: 0 } : this.versions();
   }
 
-  /** Takes whatever a peer sent; true when anything was newer. */
-  offer(update: FeedUpdate, from: string): boolean {
+  /** Applies an update from a peer; returns true when any part of it was accepted. */
+  offerUpdate(update: FeedUpdate, from: string): boolean {
     const { doc, instances } = this;
     const { configDelta, listDelta } = update;
     let config = update.config ? this.offerConfig(update.config, from) : false;
     if (configDelta && doc?.version === configDelta.from) {
       config = this.offerConfig(applyConfig(doc, configDelta), from);
-      this.wantsWhole = !config;
+      this.needsFullDocument = !config;
       this.metrics.count('feed_deltas_total', { taken: String(config) });
     }
     let list = update.list ? this.offerList(update.list, from) : false;
@@ -156,16 +159,16 @@
     return config || list;
   }
 
-  /** What somebody who holds the given versions lacks; undefined when nothing. */
-  newerThan(held: Versions): FeedUpdate | undefined {
-    const mine = this.versions();
+  /** Returns the update for a peer that holds the given versions; undefined when it is current. */
+  updatesSince(held: Versions): FeedUpdate | undefined {
+    const own = this.versions();
     const update: { -readonly [K in keyof FeedUpdate]: FeedUpdate[K] } = {};
-    if (mine.config > held.config) {
+    if (own.config > held.config) {
       const delta = this.configDelta?.();
       if (delta?.from === held.config) update.configDelta = delta;
       else update.config = this.doc;
     }
-    if (mine.list > held.list) {
+    if (own.list > held.list) {
       const delta = this.listDelta?.();
       if (delta?.from === held.list) update.listDelta = delta;
       else update.list = this.instances;
@@ -173,44 +176,45 @@
     return Object.keys(update).length > 0 ? update : undefined;
   }
 
-  /** Waits until something newer than the given versions is held, at most `waitMs`. */
+  /** Waits up to `waitMs` for an update to the given versions. */
   async waitNewer(held: Versions, waitMs: number): Promise<FeedUpdate | undefined> {
-    const now = this.newerThan(held);
-    if (now || waitMs <= 0) return now;
+    const available = this.updatesSince(held);
+    if (available || waitMs <= 0) return available;
     await this.changes.next(waitMs);
-    return this.newerThan(held);
+    return this.updatesSince(held);
   }
 
-  /** Calls back after each accepted document or list. */
+  /** Calls the listener after each accepted document or list. */
   onChange(listener: () => void): void {
     this.listeners.add(listener);
   }
 
-  private keepOld(what: string): false {
+  private countStale(what: string): false {
     this.metrics.count('feed_old_total', { what });
     return false;
   }
 
-  private refuse(version: number, reason: string, detail: string, from: string): false {
+  private rejectDocument(version: number, reason: string, detail: string, from: string): false {
     this.metrics.count('config_refused_total', { reason });
     this.log.warn('config.refused', { version, reason, detail, from });
-    // A body that was altered on its way says nothing of the version: it may come whole from elsewhere.
+    // A digest mismatch may come from corruption in transit: the same version may still arrive
+    // intact from another peer, so it is not recorded as refused.
     if (!Number.isSafeInteger(version) || reason === 'document-digest') return false;
     this.refusedVersions.set(version, { version, reason, detail });
     const oldest = this.refusedVersions.keys().next().value;
-    if (this.refusedVersions.size > KEPT_REFUSALS && oldest !== undefined)
+    if (this.refusedVersions.size > MAX_REFUSED_DOCUMENTS && oldest !== undefined)
       this.refusedVersions.delete(oldest);
     return false;
   }
 
-  private wake(): void {
+  private notifyListeners(): void {
     this.changes.notify();
     for (const listener of this.listeners) listener();
   }
 }
 
-/** Computes something when it is first asked for, and keeps it. */
-function once<T>(make: () => T): () => T {
-  let made: { readonly value: T } | undefined;
-  return () => (made ??= { value: make() }).value;
+/** Returns a function that computes a value on its first call and caches it. */
+function lazy<T>(compute: () => T): () => T {
+  let cached: { readonly value: T } | undefined;
+  return () => (cached ??= { value: compute() }).value;
 }
--- a/test/core/config-feed/delta.test.ts
+++ b/test/core/config-feed/delta.test.ts
@@ -48,29 +48,29 @@
 const throughWire = <T>(value: T): T => JSON.parse(JSON.stringify(value)) as T;
 const names = fc.uniqueArray(fc.stringMatching(/^[a-z]{1,3}$/), { minLength: 1, maxLength: 12 });
 
-test('a delta rebuilds the same organisations and the rest, whatever was added, changed or taken out', () => {
+test('a delta rebuilds the same document after organisations are added, changed or removed', () => {
   fc.assert(
     fc.property(names, names, fc.integer({ min: 1, max: 9 }), (before, after, weight) => {
       const [one, two] = [documentOf(1, before, 1), documentOf(2, after, weight)];
-      const made = applyConfig(one, throughWire(diffConfig(one, two))) as ConfigurationDocument;
+      const rebuilt = applyConfig(one, throughWire(diffConfig(one, two))) as ConfigurationDocument;
       const sorted = (doc: ConfigurationDocument) =>
         [...doc.body.organisations].sort((a, b) => (a.id < b.id ? -1 : 1));
-      assert.deepEqual(sorted(made), sorted(two));
-      assert.deepEqual({ ...made.body, organisations: [] }, { ...two.body, organisations: [] });
+      assert.deepEqual(sorted(rebuilt), sorted(two));
+      assert.deepEqual({ ...rebuilt.body, organisations: [] }, { ...two.body, organisations: [] });
     }),
     { seed: 51, numRuns: 300 },
   );
 });
 
-test('a follower comes to the same document, by the delta or else by the whole', () => {
+test('a follower reaches the same document, by a delta or otherwise by the full document', () => {
   fc.assert(
     fc.property(names, names, (before, after) => {
       const relay = storeOf(documentOf(1, before, 1)).store;
       const follower = storeOf(documentOf(1, before, 1)).store;
       relay.offerConfig(documentOf(2, after, 2), 'platform');
-      for (let asks = 0; asks < 2; asks += 1) {
-        const update = relay.newerThan(follower.asking());
-        if (update) follower.offer(throughWire(update), 'relay');
+      for (let attempt = 0; attempt < 2; attempt += 1) {
+        const update = relay.updatesSince(follower.requestedVersions());
+        if (update) follower.offerUpdate(throughWire(update), 'relay');
       }
       assert.deepEqual(follower.config, relay.config);
     }),
@@ -78,36 +78,39 @@
   );
 });
 
-test('a small change of a large document is a small message', () => {
+test('a small change to a large document gives a small message', () => {
   const many = Array.from({ length: 2000 }, (_, i) => `o${i}`);
   const relay = storeOf(documentOf(1, many, 1)).store;
   const next = documentOf(2, many, 1);
   const body = { ...next.body, policy: { ...next.body.policy, retryShare: 0.3 } };
   relay.offerConfig({ ...next, body, digest: bodyDigest(body) }, 'platform');
-  const update = relay.newerThan({ config: 1, list: 0 });
+  const update = relay.updatesSince({ config: 1, list: 0 });
   assert.ok(update?.configDelta && !update.config);
   assert.ok(JSON.stringify(update).length < 1000);
   assert.ok(
-    relay.newerThan({ config: 0, list: 0 })?.config,
-    'whoever holds another version gets the whole',
+    relay.updatesSince({ config: 0, list: 0 })?.config,
+    'a peer that holds another version gets the full document',
   );
 });
 
-test('a delta that was altered on its way is refused, and the whole is asked for', () => {
+test('a delta corrupted in transit is refused, and the full document is requested', () => {
   const relay = storeOf(documentOf(1, ['a', 'b'], 1)).store;
   const { store: follower, metrics } = storeOf(documentOf(1, ['a', 'b'], 1));
   relay.offerConfig(documentOf(2, ['a'], 1), 'platform');
-  const update = throughWire(relay.newerThan(follower.asking()));
+  const update = throughWire(relay.updatesSince(follower.requestedVersions()));
   assert.ok(update?.configDelta);
-  follower.offer({ configDelta: { ...update.configDelta, parts: {} } }, 'relay');
+  follower.offerUpdate({ configDelta: { ...update.configDelta, parts: {} } }, 'relay');
   assert.equal(follower.versions().config, 1);
   assert.equal(metrics.value('feed_deltas_total', { taken: 'false' }), 1);
-  assert.equal(follower.asking().config, 0);
-  follower.offer(throughWire(relay.newerThan(follower.asking()) ?? {}), 'relay');
-  assert.deepEqual([follower.versions().config, follower.asking().config], [2, 2]);
+  assert.equal(follower.requestedVersions().config, 0);
+  follower.offerUpdate(
+    throughWire(relay.updatesSince(follower.requestedVersions()) ?? {}),
+    'relay',
+  );
+  assert.deepEqual([follower.versions().config, follower.requestedVersions().config], [2, 2]);
 });
 
-test('lists are passed on by what changed', () => {
+test('an instance list delta rebuilds the same list', () => {
   const record = (instance: string, state: 'live' | 'leaving') => ({
     instance,
     role: 'entry' as const,
--- a/test/core/config-feed/feed.test.ts
+++ b/test/core/config-feed/feed.test.ts
@@ -30,8 +30,8 @@
   ],
 };
 
-/** Options of a feed that knows the list, asks nobody in vain, and waits little. */
-function feedOptions(changes: Partial<FeedOptions>): FeedOptions {
+/** Feed options with a fixed instance list, a platform and peers without updates, and short waits. */
+function feedOptions(overrides: Partial<FeedOptions>): FeedOptions {
   const metrics = new Metrics();
   return {
     self: asId('entry-1'),
@@ -51,17 +51,17 @@
     random: seededRandom(3),
     log: silentLog,
     metrics,
-    ...changes,
+    ...overrides,
   };
 }
 
-test('daemons compare versions with daemons, and never ask an endpoint', async () => {
-  const asked: string[] = [];
+test('daemons exchange versions with other daemons only, never with an endpoint', async () => {
+  const contacted: string[] = [];
   const ending = new AbortController();
   const feed = runFeed(
     feedOptions({
       watchPeer: (address) => {
-        asked.push(address);
+        contacted.push(address);
         return Promise.resolve(undefined);
       },
     }),
@@ -71,25 +71,25 @@
   await wait(150);
   ending.abort();
   await feed.ended;
-  assert.deepEqual([...new Set(asked)], ['10.0.0.1:2']);
+  assert.deepEqual([...new Set(contacted)], ['10.0.0.1:2']);
 });
 
 /**
- * Story: the same cause as on the platform (a waiting call whose time-out is longer than what rests on it): a watch of 25 s
- * that fell silent kept a daemon on an old document for 27 s, and 1 to 3 s of pause followed.
+ * Guards against a long poll whose timeout exceeds the bound that depends on it: a stalled watch of
+ * 25 s kept a daemon on an old document for 27 s, followed by a delay of 1 to 3 s.
  */
-test('a watch that gets no answer is over in time, and the next one follows at once', async () => {
-  const asked: number[] = [];
+test('a watch that gets no response times out, and the next one starts without a delay', async () => {
+  const watchStartsMs: number[] = [];
   const ending = new AbortController();
-  const silent = (): Promise<undefined> => {
-    asked.push(systemClock.nowMs());
+  const unresponsive = (): Promise<undefined> => {
+    watchStartsMs.push(systemClock.nowMs());
     return wait(20).then(() => Promise.reject(new DOMException('no answer', 'TimeoutError')));
   };
   const feed = runFeed(
     feedOptions({
       fallbackMs: 10_000,
       startMs: 1,
-      platform: { watchConfig: silent, watchList: silent },
+      platform: { watchConfig: unresponsive, watchList: unresponsive },
     }),
     ending.signal,
   );
@@ -97,5 +97,5 @@
   await wait(400);
   ending.abort();
   await feed.ended;
-  assert.ok(asked.length >= 8, `${asked.length} watches`);
+  assert.ok(watchStartsMs.length >= 8, `${watchStartsMs.length} watches`);
 });
