--- a/src/core/events/confirm.ts
+++ b/src/core/events/confirm.ts
@@ -1,11 +1,11 @@
-/** Confirms a plan: only while it still rests on the version in force. */
+/** Confirms an event plan, only while the version it is based on is in force. */
 import { bodyDigest, bodyErrors } from '../config-feed/index.js';
 import { notRun, type HarriergladeError } from '../errors/index.js';
 import { Err, Ok, type Result } from '../result/index.js';
 import type { ConfigurationDocument, EventPlan, Publication } from './types.js';
 
 /**
- * Top-level parts of the body that differ between two documents.
+ * Lists the top-level parts of the body that differ between two documents.
  * @example changedParts(planned.body, latest.body) // ['organisations']
  */
 export function changedParts(
@@ -21,14 +21,15 @@
 }
 
 /**
- * The document to publish for a plan, or why the plan no longer holds.
- * `newest` is the platform's newest version, which may be a refused one above the version in force.
+ * Returns the document to publish for a plan, or an error when the plan is stale or invalid.
+ * `newestVersion` is the platform's newest version; it may be a refused one above the version in
+ * force.
  * @example confirmPlan(plan, doc, doc.version, Date.now()).map((publication) => publication.basedOn)
  */
 export function confirmPlan(
   plan: EventPlan,
   doc: ConfigurationDocument,
-  newest: number,
+  newestVersion: number,
   nowMs: number,
 ): Result<Publication, HarriergladeError> {
   if (plan.base.version !== doc.version || plan.base.digest !== doc.digest) {
@@ -40,10 +41,10 @@
     );
   }
   if (plan.event.startMs <= nowMs)
-    return Err(notRun('plan-stale', 'The event has started already.'));
+    return Err(notRun('plan-stale', 'The event has already started.'));
   const others = (doc.body.events ?? []).filter((e) => e.id !== plan.event.id);
   const body = { ...doc.body, events: [...others, plan.event] };
-  const faults = bodyErrors(body);
-  if (faults.length > 0) return Err(notRun('document-invalid', `${faults.join('; ')}.`));
-  return Ok({ basedOn: newest, digest: bodyDigest(body), body });
+  const errors = bodyErrors(body);
+  if (errors.length > 0) return Err(notRun('document-invalid', `${errors.join('; ')}.`));
+  return Ok({ basedOn: newestVersion, digest: bodyDigest(body), body });
 }
--- a/src/core/events/plan.ts
+++ b/src/core/events/plan.ts
@@ -1,4 +1,4 @@
-/** Turns an operator's intent into a plan against the published state. */
+/** Plans an event from an operator's intent and the published configuration. */
 import type { ConfigurationBody, GroupConfig } from '../../generated/configuration.types.js';
 import validateIntent from '../../generated/intent.validator.js';
 import { SACRIFICE_FROM_PRESSURE } from '../admission/index.js';
@@ -16,25 +16,25 @@
   TargetPlan,
 } from './types.js';
 
-/** How long before the start experts are loaded, ms. */
+/** Time before an event's start at which loading of its hot experts begins, ms. */
 export const PRELOAD_MS = 120_000;
 const INTENT_KEYS: Record<string, string[]> = {
   '': ['id', 'start', 'durationMinutes', 'organisations', 'surge', 'hotExperts', 'sacrifice'],
 };
 
-function unknownName(what: string, name: string, known: readonly string[]): string[] {
+function unknownNameErrors(what: string, name: string, known: readonly string[]): string[] {
   if (known.includes(name)) return [];
-  const near = nearestName(name, known);
+  const suggestion = nearestName(name, known);
   return [
-    `${what} "${name}" is not configured${near ? `; did you mean "${near}"?` : '; name a configured one'}`,
+    `${what} "${name}" is not configured${suggestion ? `; did you mean "${suggestion}"?` : '; use a configured one'}`,
   ];
 }
 
-function expertFaults(intent: EventIntent, body: ConfigurationBody): string[] {
+function expertErrors(intent: EventIntent, body: ConfigurationBody): string[] {
   return (intent.hotExperts ?? []).flatMap(({ group: id, expert }) => {
     const group = body.groups.find((g) => g.id === id);
     if (!group)
-      return unknownName(
+      return unknownNameErrors(
         'group',
         id,
         body.groups.map((g) => g.id),
@@ -45,10 +45,10 @@
   });
 }
 
-function timeFaults(intent: EventIntent, body: ConfigurationBody, nowMs: number): string[] {
+function timeErrors(intent: EventIntent, body: ConfigurationBody, nowMs: number): string[] {
   const startMs = Date.parse(intent.start);
   if (!Number.isFinite(startMs))
-    return [`start "${intent.start}" is no time; write it as 2027-01-31T05:00:00+02:00`];
+    return [`start "${intent.start}" is not a valid time; write it as 2027-01-31T05:00:00+02:00`];
   if (startMs <= nowMs) return [`start ${intent.start} has passed; name a time to come`];
   const endMs = startMs + intent.durationMinutes * 60_000;
   return (body.events ?? [])
@@ -56,23 +56,25 @@
     .filter((e) => e.organisations.some((o) => intent.organisations.includes(o)))
     .map(
       (e) =>
-        `event "${e.id}" runs at the same time for the same organisations; move one of them or state both as one event`,
+        `event "${e.id}" runs at the same time for the same organisations; move one of them or combine both into one event`,
     );
 }
 
-function intentFaults(intent: EventIntent, body: ConfigurationBody, nowMs: number): string[] {
+function contentErrors(intent: EventIntent, body: ConfigurationBody, nowMs: number): string[] {
   const organisations = body.organisations.map((o) => o.id);
   const targets = [...body.models.map((m) => m.id), ...body.services.map((s) => s.id)];
   return [
-    ...timeFaults(intent, body, nowMs),
-    ...intent.organisations.flatMap((o) => unknownName('organisation', o, organisations)),
-    ...intent.surge.flatMap((s) => unknownName('model or service', s.target, targets)),
-    ...intent.sacrifice.flatMap((s) => unknownName('sacrifice', s, [...organisations, ...targets])),
-    ...expertFaults(intent, body),
+    ...timeErrors(intent, body, nowMs),
+    ...intent.organisations.flatMap((o) => unknownNameErrors('organisation', o, organisations)),
+    ...intent.surge.flatMap((s) => unknownNameErrors('model or service', s.target, targets)),
+    ...intent.sacrifice.flatMap((s) =>
+      unknownNameErrors('sacrifice', s, [...organisations, ...targets]),
+    ),
+    ...expertErrors(intent, body),
   ];
 }
 
-function eventOf(intent: EventIntent): EventConfig {
+function toEventConfig(intent: EventIntent): EventConfig {
   return {
     id: intent.id,
     startMs: Date.parse(intent.start),
@@ -100,8 +102,8 @@
   }
   const service = body.services.find((s) => s.id === surge.target);
   const endpoints = service?.endpoints.length ?? 0;
-  const each = service?.requestsPerSecondPerEndpoint;
-  const capacity = each === undefined ? undefined : each * endpoints;
+  const perEndpoint = service?.requestsPerSecondPerEndpoint;
+  const capacity = perEndpoint === undefined ? undefined : perEndpoint * endpoints;
   const shortfall = capacity === undefined ? 0 : Math.max(0, surge.requestsPerSecond - capacity);
   return {
     target: surge.target,
@@ -130,7 +132,7 @@
 ): PreloadPlan | undefined {
   const experts = (event.hotExperts ?? []).filter((h) => h.group === group.id).map((h) => h.expert);
   if (experts.length === 0) return undefined;
-  // At most one more replica of each named expert in every layer.
+  // Upper bound: one additional replica of each hot expert in every layer.
   const bytes = experts.length * group.layers * group.expertBytes;
   const bytesPerSecond = body.policy.weightStoreBytesPerSecond / body.groups.length;
   const beginMs = event.startMs - PRELOAD_MS;
@@ -138,20 +140,20 @@
   return { group: group.id, experts, bytes, beginMs, endMs, inTime: endMs <= event.startMs };
 }
 
-/** Demand in tokens a second that giving one name up frees. */
-function freedBy(
+/** Demand freed by sacrificing one organisation or target, tokens per second. */
+function freedTokensPerSecond(
   name: string,
   body: ConfigurationBody,
   event: EventConfig,
   targets: readonly TargetPlan[],
-  left: number,
+  demand: number,
 ): number {
   const target = targets.find((t) => t.target === name);
   if (target) return target.unit === 'tokens/s' ? target.surge : 0;
   const inside = body.organisations.filter((o) => event.organisations.includes(o.id));
   const weight = inside.reduce((sum, o) => sum + o.weight, 0);
   const own = inside.find((o) => o.id === name)?.weight ?? 0;
-  return weight > 0 ? (left * own) / weight : 0;
+  return weight > 0 ? (demand * own) / weight : 0;
 }
 
 function sacrificePlans(
@@ -164,18 +166,18 @@
   let demand = models.reduce((sum, t) => sum + t.surge, 0);
   const total = demand;
   const step = (1 - SACRIFICE_FROM_PRESSURE) / Math.max(1, event.sacrifice.length);
-  return event.sacrifice.map((given, at) => {
-    demand = Math.max(0, demand - freedBy(given, body, event, targets, total));
+  return event.sacrifice.map((name, index) => {
+    demand = Math.max(0, demand - freedTokensPerSecond(name, body, event, targets, total));
     return {
-      given,
-      fromPressure: SACRIFICE_FROM_PRESSURE + at * step,
+      given: name,
+      fromPressure: SACRIFICE_FROM_PRESSURE + index * step,
       shortfallLeft: Math.max(0, demand - capacity),
     };
   });
 }
 
 /**
- * Plans an event; every fault of the intent is named at once.
+ * Plans an event. An invalid intent gives one error that lists everything wrong with it.
  * @example planEvent(JSON.parse(text), doc, Date.now()).map((plan) => plan.shortfallLeft)
  */
 export function planEvent(
@@ -183,12 +185,12 @@
   doc: ConfigurationDocument,
   nowMs: number,
 ): Result<EventPlan, HarriergladeError> {
-  const faults = validationErrors(validateIntent, data, (path) => INTENT_KEYS[path] ?? []);
-  if (faults.length > 0) return Err(notRun('intent-invalid', `${faults.join('; ')}.`));
+  const shapeErrors = validationErrors(validateIntent, data, (path) => INTENT_KEYS[path] ?? []);
+  if (shapeErrors.length > 0) return Err(notRun('intent-invalid', `${shapeErrors.join('; ')}.`));
   const intent = data as EventIntent;
-  const content = intentFaults(intent, doc.body, nowMs);
-  if (content.length > 0) return Err(notRun('intent-invalid', `${content.join('; ')}.`));
-  const event = eventOf(intent);
+  const errors = contentErrors(intent, doc.body, nowMs);
+  if (errors.length > 0) return Err(notRun('intent-invalid', `${errors.join('; ')}.`));
+  const event = toEventConfig(intent);
   const targets = event.surge.map((s) => targetPlan(doc.body, s));
   const capacity = targets.reduce(
     (sum, t) => sum + (t.unit === 'tokens/s' ? (t.capacity ?? 0) : 0),
--- a/src/core/events/types.ts
+++ b/src/core/events/types.ts
@@ -1,29 +1,32 @@
-/** Types of event plans. */
+/** Event plans and the documents published from them. */
 import type { ConfigurationDocument, EventConfig } from '../../generated/configuration.types.js';
 import type { EventIntent } from '../../generated/intent.types.js';
 
 export type { ConfigurationDocument, EventConfig, EventIntent };
 
-/** Capacity of one target against its surge. Rates are tokens a second for models, requests for services. */
+/**
+ * Capacity of one target compared with its surge. Rates are tokens per second for models and
+ * requests per second for services.
+ */
 export interface TargetPlan {
   readonly target: string;
   readonly unit: 'tokens/s' | 'requests/s';
   readonly endpoints: number;
-  /** Undefined when the configuration does not say what one endpoint serves. */
+  /** Undefined when the configuration sets no rate per endpoint. */
   readonly capacity: number | undefined;
   readonly surge: number;
   readonly shortfall: number;
 }
 
-/** Share of one organisation in each phase, tokens a second over the whole deployment. */
+/** Share of one organisation before and during the event, tokens per second across the deployment. */
 export interface SharePlan {
   readonly organisation: string;
   readonly before: number;
-  /** What its weight gives it among the event's organisations while capacity is short. */
+  /** Its weighted share among the event's organisations while capacity is short. */
   readonly during: number;
 }
 
-/** Experts that a group loads before the start. */
+/** Experts that a group loads before the event starts. */
 export interface PreloadPlan {
   readonly group: string;
   readonly experts: readonly number[];
@@ -33,14 +36,14 @@
   readonly inTime: boolean;
 }
 
-/** What is given up, in order, and the shortfall that is left after each. */
+/** One step of load shedding: what is sacrificed, from which pressure, and the remaining shortfall. */
 export interface SacrificePlan {
   readonly given: string;
   readonly fromPressure: number;
   readonly shortfallLeft: number;
 }
 
-/** A plan that a person reads and confirms; nothing changes before that. */
+/** A plan for an operator to review; nothing changes until it is confirmed. */
 export interface EventPlan {
   readonly base: { readonly version: number; readonly digest: string };
   readonly event: EventConfig;
@@ -48,11 +51,11 @@
   readonly shares: readonly SharePlan[];
   readonly preloads: readonly PreloadPlan[];
   readonly sacrifice: readonly SacrificePlan[];
-  /** Tokens a second that stay uncovered when all that may be given up is given up. */
+  /** Shortfall that remains after everything that may be sacrificed is, tokens per second. */
   readonly shortfallLeft: number;
 }
 
-/** What `confirm` hands to the operator for publication by the platform's own means. */
+/** Output of `harrierglade confirm`, which the operator publishes through the platform. */
 export interface Publication {
   readonly basedOn: number;
   readonly digest: string;
--- a/test/core/events/events.test.ts
+++ b/test/core/events/events.test.ts
@@ -23,13 +23,13 @@
   sacrifice: ['rwandair'],
 };
 
-function factsOf(intent: object): string {
+function detailOf(intent: object): string {
   const result = planEvent(intent, plainDocument(4), NOW);
   assert.ok(result.err);
   return result.val.facts;
 }
 
-test('a plan weighs capacity against surge and says what is given up', () => {
+test('a plan compares capacity with the surge and lists what is sacrificed', () => {
   const plan = planEvent(structuredClone(INTENT), plainDocument(4), NOW).unwrap();
   assert.deepEqual(plan.targets[0], {
     target: 'passenger-summary',
@@ -47,21 +47,21 @@
   assert.match(text, /Nothing has changed/);
 });
 
-test('every fault of an intent is named at once, with a remedy', () => {
-  const facts = factsOf({
+test('all errors of an intent are reported together, each with a remedy', () => {
+  const detail = detailOf({
     ...INTENT,
     start: '2020-01-01T00:00:00Z',
     organisations: ['rwandir'],
     surge: [{ target: 'nothing-such', requestsPerSecond: 1, tokensPerRequest: 1 }],
     hotExperts: [{ group: 'kgl-a-group', expert: 9, factor: 2 }],
   });
-  assert.match(facts, /has passed; name a time to come/);
-  assert.match(facts, /organisation "rwandir" is not configured; did you mean "rwandair"\?/);
-  assert.match(facts, /model or service "nothing-such" is not configured/);
-  assert.match(facts, /expert 9 of group "kgl-a-group" does not exist; use 0 to 1/);
-  assert.match(factsOf({ ...INTENT, surge: [] }), /\/surge/);
+  assert.match(detail, /has passed; name a time to come/);
+  assert.match(detail, /organisation "rwandir" is not configured; did you mean "rwandair"\?/);
+  assert.match(detail, /model or service "nothing-such" is not configured/);
+  assert.match(detail, /expert 9 of group "kgl-a-group" does not exist; use 0 to 1/);
+  assert.match(detailOf({ ...INTENT, surge: [] }), /\/surge/);
   assert.match(
-    factsOf({
+    detailOf({
       ...INTENT,
       surge: [{ target: 'passenger-summary', requestsPerSecond: -4, tokensPerRequest: 1 }],
     }),
@@ -73,16 +73,20 @@
   const doc = plainDocument(4);
   const plan = planEvent(structuredClone(INTENT), doc, NOW).unwrap();
   const body = { ...doc.body, events: [{ ...plan.event, id: 'other' }] };
-  const busy: ConfigurationDocument = { ...doc, body, digest: bodyDigest(body) };
-  const clash = planEvent(structuredClone(INTENT), busy, NOW);
-  assert.ok(clash.err);
-  assert.match(clash.val.facts, /event "other" runs at the same time/);
+  const withOtherEvent: ConfigurationDocument = { ...doc, body, digest: bodyDigest(body) };
+  const overlapping = planEvent(structuredClone(INTENT), withOtherEvent, NOW);
+  assert.ok(overlapping.err);
+  assert.match(overlapping.val.facts, /event "other" runs at the same time/);
   assert.ok(
-    planEvent({ ...structuredClone(INTENT), start: '2027-02-01T05:30:00+02:00' }, busy, NOW).ok,
+    planEvent(
+      { ...structuredClone(INTENT), start: '2027-02-01T05:30:00+02:00' },
+      withOtherEvent,
+      NOW,
+    ).ok,
   );
 });
 
-test('a surge beyond any capacity is planned with the shortfall that is left', () => {
+test('a plan for a surge beyond all capacity states the remaining shortfall', () => {
   const huge = {
     ...structuredClone(INTENT),
     surge: [{ target: 'passenger-summary', requestsPerSecond: 1e9, tokensPerRequest: 1e3 }],
@@ -100,15 +104,15 @@
   assert.ok(judgeDocument({ version: 5, ...structuredClone(publication) }).ok);
 });
 
-test('a plan whose base has moved is refused, and so is one whose event has begun', () => {
+test('a plan based on an old version is refused, and so is one whose event has started', () => {
   const plan = planEvent(structuredClone(INTENT), plainDocument(4), NOW).unwrap();
-  const moved = confirmPlan(plan, plainDocument(5), 5, NOW);
-  assert.ok(moved.err);
-  assert.equal(moved.val.reason, 'plan-stale');
+  const stale = confirmPlan(plan, plainDocument(5), 5, NOW);
+  assert.ok(stale.err);
+  assert.equal(stale.val.reason, 'plan-stale');
   assert.ok(confirmPlan(plan, plainDocument(4), 4, plan.event.startMs).err);
 });
 
-test('a document made on top of a refused one is based on the newest version, from the one in force', () => {
+test('after a refused version, basedOn is the newest version and the body comes from the one in force', () => {
   const doc = plainDocument(4);
   const plan = planEvent(structuredClone(INTENT), doc, NOW).unwrap();
   assert.equal(confirmPlan(plan, doc, 6, NOW).unwrap().basedOn, 6);
