--- a/src/core/clock/changes.ts
+++ b/src/core/clock/change-signal.ts
@@ -1,6 +1,6 @@
-/** Waiting for the next change of something, with a limit. */
+/** Lets callers wait for the next change, with a timeout. */
 
-/** Wakes all that wait. */
+/** Notifies all current waiters of a change. */
 export class Changes {
   private readonly waiters = new Set<() => void>();
 
@@ -20,7 +20,7 @@
     });
   }
 
-  /** Wakes everyone who waits now. */
+  /** Resolves all pending calls of `next`. */
   notify(): void {
     for (const waiter of [...this.waiters]) waiter();
   }
--- a/src/core/clock/clock.ts
+++ b/src/core/clock/clock.ts
@@ -1,33 +1,33 @@
-/** Time as an argument: decisions take a clock, so that tests own the time. */
+/** Clocks, timers and random sources, passed as arguments so that tests control time. */
 import { performance } from 'node:perf_hooks';
 
-/** The two clocks of an instance. */
+/** Monotonic and wall clock of an instance. */
 export interface Clock {
-  /** Monotonic, ms; for durations. */
+  /** Monotonic time, ms; for durations. */
   nowMs(): number;
-  /** Wall clock, Unix ms; only for what crosses instances, with the skew bound. */
+  /** Wall-clock time, Unix ms; only for times sent between instances, within the skew bound. */
   wallMs(): number;
 }
 
-/** Random source in [0, 1). */
+/** Returns a random number in [0, 1). */
 export type Random = () => number;
 
-/** The clocks of this process. */
+/** The system clocks of this process. */
 export const systemClock: Clock = {
   nowMs: () => performance.now(),
   wallMs: () => Date.now(),
 };
 
-/** Tells whether the process stood still between two looks. */
+/** Detects whether the process was stalled or suspended between two checks. */
 export interface PauseDetector {
-  /** Ms by which the last look came late, 0 when in time. Looks at the clock anew. */
+  /** Time since the last check if it exceeds the limit, otherwise 0, in ms. Counts as a check. */
   lateMs(): number;
 }
 
 /**
- * Detects a paused process: a ticker looks at the clock, and a gap beyond the limit is a pause.
- * Whoever is about to act calls `lateMs` first, since it may run before the ticker does.
- * @example const pause = pauseDetector(systemClock, 1500, onPause); pause.lateMs();
+ * Detects pauses of the process: a timer reads the clock, and a gap above the limit is a pause.
+ * Callers check `pausedMs` just before they act, because they may run before the timer does.
+ * @example const pause = pauseDetector(systemClock, 1500, onPause); pause.pausedMs();
  */
 export function pauseDetector(
   clock: Clock,
@@ -36,7 +36,7 @@
 ): PauseDetector & { stop(): void } {
   const tickMs = Math.max(20, limitMs / 4);
   let last = clock.nowMs();
-  const look = (): number => {
+  const check = (): number => {
     const now = clock.nowMs();
     const gap = now - last;
     last = now;
@@ -44,13 +44,13 @@
     onPause(gap);
     return gap;
   };
-  const timer = setInterval(look, tickMs);
+  const timer = setInterval(check, tickMs);
   timer.unref();
-  return { lateMs: look, stop: () => clearInterval(timer) };
+  return { lateMs: check, stop: () => clearInterval(timer) };
 }
 
 /**
- * Waits, or ends early when the signal aborts; never rejects.
+ * Waits for `ms`, or until the signal aborts; never rejects.
  * @example await sleep(500, signal);
  */
 export function sleep(ms: number, signal?: AbortSignal): Promise<void> {
@@ -67,7 +67,7 @@
 }
 
 /**
- * A seeded random source (mulberry32) for tests, benches and traces.
+ * Returns a seeded random source (mulberry32) for tests, benchmarks and traces.
  * @example const random = seededRandom(7); random();
  */
 export function seededRandom(seed: number): Random {
--- a/src/core/clock/suspension.ts
+++ b/src/core/clock/suspension.ts
@@ -1,28 +1,30 @@
 /**
- * Ages that a promise rests on, on machines that may be suspended. The steady clock of a process does not count the time for
- * which its machine was suspended, the time of day does; Node gives no clock that does both and cannot be set.
+ * A clock for safety-critical ages on instances that may be suspended. The monotonic clock does not
+ * count suspended time, the wall clock does but can be set; Node has no clock that counts suspended
+ * time and cannot be set.
  */
 import type { Clock } from './clock.js';
 
-/** Least step of the time of day that counts as a suspension, ms: it is slewed by less between two looks. */
-const LEAST_STEP_MS = 100;
+/** Smallest wall-clock step that counts as a suspension, ms; slewing between two readings is smaller. */
+const MIN_STEP_MS = 100;
 
 /**
- * A clock that is never behind the time that has passed. When the time of day has gone ahead of the steady clock since the
- * last look, the machine was suspended or its time was set; that cannot be told apart here, so it counts as time that has
- * passed: what is known grows old by it, and is proved anew within a second. Without it a key that had been taken away for
- * 7 s was honoured by an entry that woke from 5 s of suspension (suspension.test). A look costs 0.15 us more than one at the
- * steady clock alone, and no call to the system.
+ * A monotonic clock that includes suspended time. When the wall clock has advanced further than the
+ * monotonic clock since the last reading, the instance was suspended or its wall clock was set. The
+ * two cannot be told apart, so the difference counts as elapsed time: held state ages by it and is
+ * confirmed again within a second. Without this, an entry resuming from a 5 s suspension accepted a
+ * key that had been revoked 7 s before (suspension.test). A reading costs 0.15 us more than reading
+ * the monotonic clock alone, and no system call.
  *
- * Not seen: a suspension during which the time of day is set back by as much.
+ * Not detected: a suspension during which the wall clock is set back by the same amount.
  */
 export class SuspensionClock implements Clock {
-  private countedMs = 0;
+  private addedMs = 0;
   private offsetMs: number;
 
   /**
-   * @param clock the steady clock and the time of day
-   * @param onStep called with each step that is counted, ms
+   * @param clock the underlying monotonic and wall clocks
+   * @param onStep called with each step added to the monotonic time, ms
    */
   constructor(
     private readonly clock: Clock,
@@ -32,22 +34,22 @@
   }
 
   /**
-   * Monotonic, ms, with time for which the machine was suspended.
-   * @example const ageMs = clock.nowMs() - provedAtMs;
+   * Monotonic time including suspended time, ms.
+   * @example const ageMs = clock.nowMs() - confirmedAtMs;
    */
   nowMs(): number {
-    const steadyMs = this.clock.nowMs();
-    const offsetMs = this.clock.wallMs() - steadyMs;
+    const monotonicMs = this.clock.nowMs();
+    const offsetMs = this.clock.wallMs() - monotonicMs;
     const stepMs = offsetMs - this.offsetMs;
     this.offsetMs = offsetMs;
-    if (stepMs >= LEAST_STEP_MS) {
-      this.countedMs += stepMs;
+    if (stepMs >= MIN_STEP_MS) {
+      this.addedMs += stepMs;
       this.onStep(stepMs);
     }
-    return steadyMs + this.countedMs;
+    return monotonicMs + this.addedMs;
   }
 
-  /** The time of day, Unix ms. */
+  /** Wall-clock time, Unix ms. */
   wallMs(): number {
     return this.clock.wallMs();
   }
--- a/src/core/clock/timed.ts
+++ b/src/core/clock/timed.ts
@@ -1,19 +1,19 @@
-/** Times of work that goes on. */
+/** Measures the duration of asynchronous work. */
 import type { Clock } from './clock.js';
 
 /**
- * Passes work through and tells how long it took, ms, also when it failed.
+ * Awaits a promise and reports how long it took, in ms, whether it resolves or rejects.
  * @example await timed(clock, call(), (ms) => metrics.observe('call_ms', ms));
  */
 export async function timed<T>(
   clock: Clock,
   work: Promise<T>,
-  note: (tookMs: number) => void,
+  onDuration: (tookMs: number) => void,
 ): Promise<T> {
   const startedAtMs = clock.nowMs();
   try {
     return await work;
   } finally {
-    note(clock.nowMs() - startedAtMs);
+    onDuration(clock.nowMs() - startedAtMs);
   }
 }
