--- a/src/core/settings/settings.ts
+++ b/src/core/settings/settings.ts
@@ -1,4 +1,4 @@
-/** Reads and checks settings; every fault is named with its path, the value seen and the remedy. */
+/** Reads and validates settings. Each error gives the path, the invalid value and how to fix it. */
 import { readFileSync } from 'node:fs';
 import type { ErrorObject } from 'ajv';
 import { Err, Ok, type Result } from '../result/index.js';
@@ -7,11 +7,11 @@
 import { errorText, HarriergladeError, notRun } from '../errors/index.js';
 import { nearestName } from './nearest-name.js';
 
-type Deep<T> = { [K in keyof T]-?: NonNullable<T[K]> };
+type Complete<T> = { [K in keyof T]-?: NonNullable<T[K]> };
 /** Settings with every default filled in. */
 export type FullSettings = Omit<Settings, 'limits' | 'timing' | 'peers' | 'logLevel'> & {
-  limits: Deep<NonNullable<Settings['limits']>>;
-  timing: Deep<NonNullable<Settings['timing']>>;
+  limits: Complete<NonNullable<Settings['limits']>>;
+  timing: Complete<NonNullable<Settings['timing']>>;
   peers: string[];
   logLevel: NonNullable<Settings['logLevel']>;
 };
@@ -26,13 +26,13 @@
   return value;
 }
 
-function remedyOf(err: ErrorObject, data: unknown): string {
+function describeError(err: ErrorObject, data: unknown): string {
   const params = err.params as Record<string, unknown>;
   if (err.keyword === 'additionalProperties') {
-    const seen = String(params['additionalProperty']);
+    const unknownKey = String(params['additionalProperty']);
     const schema = err.parentSchema as { properties?: object } | undefined;
-    const near = nearestName(seen, Object.keys(schema?.properties ?? {}));
-    return `unknown key "${seen}"${near ? `; did you mean "${near}"?` : '; remove it'}`;
+    const suggestion = nearestName(unknownKey, Object.keys(schema?.properties ?? {}));
+    return `unknown key "${unknownKey}"${suggestion ? `; did you mean "${suggestion}"?` : '; remove it'}`;
   }
   if (err.keyword === 'required')
     return `key "${String(params['missingProperty'])}" is missing; add it`;
@@ -44,8 +44,8 @@
 }
 
 /**
- * Runs a generated validator and lists every fault in words.
- * @example faultsOf(validate, { role: 'entri' }, knownKeys) // ['/role: value "entri"; use one of entry, agent']
+ * Runs a generated validator and describes every error.
+ * @example validationErrors(validate, { role: 'entri' }, knownKeys) // ['/role: value "entri"; use one of entry, agent']
  */
 export function validationErrors(
   validate: Validator,
@@ -56,11 +56,11 @@
   return (validate.errors ?? []).map((err) => {
     const properties = Object.fromEntries(knownKeys(err.instancePath).map((k) => [k, true]));
     const path = err.instancePath || '/';
-    return `${path}: ${remedyOf({ ...err, parentSchema: { properties } }, data)}`;
+    return `${path}: ${describeError({ ...err, parentSchema: { properties } }, data)}`;
   });
 }
 
-/** Keys that the schema knows at one path of the data. */
+/** Returns the keys that the schema allows at one path of the data. */
 export type KnownKeys = (path: string) => string[];
 
 const SETTINGS_KEYS: Record<string, string[]> = {
@@ -83,18 +83,18 @@
   '/timing': ['watchMs', 'fallbackMs', 'pauseMs', 'drainMs', 'startMs', 'groupMs'],
 };
 
-function roleFaults(settings: Settings): string[] {
+function roleErrors(settings: Settings): string[] {
   if (settings.role === 'entry' && !settings.listen.callers) {
     return ['/listen: key "callers" is missing; an entry needs an address for callers'];
   }
   if (settings.role === 'agent' && !settings.endpoint) {
-    return ['/: key "endpoint" is missing; an agent needs the endpoint it stands before'];
+    return ['/: key "endpoint" is missing; an agent needs the endpoint that it serves'];
   }
   return [];
 }
 
 /**
- * Checks settings that were read already, and fills in the defaults.
+ * Validates parsed settings and fills in the defaults.
  * @example checkSettings({ role: 'entry' }).err // true: names each missing key
  */
 export function checkSettings(data: unknown): Result<FullSettings, HarriergladeError> {
@@ -109,14 +109,14 @@
     peers: [],
     ...structuredClone(data),
   };
-  const faults = validationErrors(validateSettings, filled, (path) => SETTINGS_KEYS[path] ?? []);
-  if (faults.length === 0) faults.push(...roleFaults(filled as unknown as Settings));
-  if (faults.length > 0) return Err(notRun('settings-invalid', `${faults.join('; ')}.`));
+  const errors = validationErrors(validateSettings, filled, (path) => SETTINGS_KEYS[path] ?? []);
+  if (errors.length === 0) errors.push(...roleErrors(filled as unknown as Settings));
+  if (errors.length > 0) return Err(notRun('settings-invalid', `${errors.join('; ')}.`));
   return Ok(filled as unknown as FullSettings);
 }
 
 /**
- * Reads a settings file.
+ * Reads and validates a settings file.
  * @example readSettings('examples/nyungwe/entry.json').ok
  */
 export function readSettings(path: string): Result<FullSettings, HarriergladeError> {
--- a/test/core/settings/settings.test.ts
+++ b/test/core/settings/settings.test.ts
@@ -3,7 +3,7 @@
 import { checkSettings, nearestName, readSettings } from '../../../src/core/settings/index.js';
 
 const ADDRESS = { host: '127.0.0.1', port: 0 };
-const GOOD = {
+const VALID = {
   role: 'entry',
   instance: 'kgl-a-entry-1',
   dataCentre: 'kgl-a',
@@ -11,51 +11,51 @@
   listen: { callers: ADDRESS, daemons: ADDRESS, operators: ADDRESS },
 };
 
-function factsOf(data: unknown): string {
+function detailOf(data: unknown): string {
   const result = checkSettings(data);
   assert.ok(result.err);
   return result.val.facts;
 }
 
-test('good settings get every default', () => {
-  const settings = checkSettings(GOOD).unwrap();
+test('valid settings get every default', () => {
+  const settings = checkSettings(VALID).unwrap();
   assert.equal(settings.limits.bodyBytes, 1_048_576);
   assert.equal(settings.timing.watchMs, 8000);
   assert.deepEqual(settings.peers, []);
 });
 
-/** Time within which a change is to be in force everywhere, ms, and the time for an answer beyond a watch's wait. */
+/** Time within which a change must be in force everywhere, and response time beyond a watch's wait, ms. */
 const IN_FORCE_MS = 14_000;
-const ANSWER_MS = 2000;
+const RESPONSE_MARGIN_MS = 2000;
 
-test('a connection that fell silent is found, and a whole call made by a new one, before a change must be in force', () => {
-  const { watchMs } = checkSettings(GOOD).unwrap().timing;
-  assert.ok(watchMs + 2 * ANSWER_MS < IN_FORCE_MS, `${watchMs} ms`);
+test('a stalled connection is detected, and a full call completes on a new one, within the time for a change', () => {
+  const { watchMs } = checkSettings(VALID).unwrap().timing;
+  assert.ok(watchMs + 2 * RESPONSE_MARGIN_MS < IN_FORCE_MS, `${watchMs} ms`);
 });
 
-test('several faults are named at once, each with path, value and remedy', () => {
-  const facts = factsOf({ ...GOOD, role: 'entri', limits: { bodyBytes: 1 }, lisen: {} });
-  assert.match(facts, /\/role: value "entri"; use one of entry, agent/);
-  assert.match(facts, /\/limits\/bodyBytes: value 1 must be >= 1024/);
-  assert.match(facts, /unknown key "lisen"; did you mean "listen"\?/);
+test('several errors are reported together, each with path, value and remedy', () => {
+  const detail = detailOf({ ...VALID, role: 'entri', limits: { bodyBytes: 1 }, lisen: {} });
+  assert.match(detail, /\/role: value "entri"; use one of entry, agent/);
+  assert.match(detail, /\/limits\/bodyBytes: value 1 must be >= 1024/);
+  assert.match(detail, /unknown key "lisen"; did you mean "listen"\?/);
 });
 
-test('a role without what it needs is named', () => {
-  assert.match(factsOf({ ...GOOD, role: 'agent' }), /"endpoint" is missing; an agent needs/);
+test('a role whose required settings are missing is reported', () => {
+  assert.match(detailOf({ ...VALID, role: 'agent' }), /"endpoint" is missing; an agent needs/);
   assert.match(
-    factsOf({ ...GOOD, listen: { daemons: ADDRESS, operators: ADDRESS } }),
+    detailOf({ ...VALID, listen: { daemons: ADDRESS, operators: ADDRESS } }),
     /"callers" is missing; an entry needs/,
   );
 });
 
-test('things that are no object, and files that cannot be read, are refused with a remedy', () => {
-  for (const data of [null, [], 'x', 7]) assert.match(factsOf(data), /not a JSON object/);
+test('values other than objects, and unreadable files, are refused with a remedy', () => {
+  for (const data of [null, [], 'x', 7]) assert.match(detailOf(data), /not a JSON object/);
   const missing = readSettings('/nowhere/settings.json');
   assert.ok(missing.err);
   assert.match(missing.val.message, /Name a readable JSON file/);
 });
 
-test('a nearest name is offered only when it is near', () => {
+test('a known name is suggested only when it is close enough', () => {
   assert.equal(nearestName('bodyByte', ['bodyBytes', 'bodyMs']), 'bodyBytes');
   assert.equal(nearestName('zzzz', ['bodyBytes']), undefined);
 });
