--- a/src/core/logging/log.ts
+++ b/src/core/logging/log.ts
@@ -1,16 +1,16 @@
-/** Logs: roarr, written as one line of key=value pairs for each event. */
-import './enable.js';
+/** Structured logging with roarr, one line of key=value pairs per event. */
+import './enable-roarr.js';
 import { ROARR, Roarr } from 'roarr';
 
-/** Value of one pair. */
+/** Value of one log field. */
 export type LogValue = string | number | boolean | undefined;
-/** Pairs of one event. */
+/** Fields of one log event. */
 export type LogFields = Record<string, LogValue>;
-/** Levels, least urgent first. */
+/** Log levels, from least to most severe. */
 export const LOG_LEVELS = ['debug', 'info', 'warn', 'error'] as const;
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** Writes events at one level each. */
+/** Writes log events, one method per level. */
 export interface Log {
   debug(event: string, fields?: LogFields): void;
   info(event: string, fields?: LogFields): void;
@@ -24,7 +24,7 @@
 }
 
 /**
- * One event as a line of pairs; undefined values are left out.
+ * Formats fields as one line of key=value pairs; undefined values are omitted.
  * @example formatLine({ event: 'start', port: 80 }) // 'event=start port=80'
  */
 export function formatLine(fields: LogFields): string {
@@ -34,22 +34,22 @@
     .join(' ');
 }
 
-/** Bytes that may wait for whoever reads the log; a reader that stands still must not hold us up. */
-const MOST_PENDING_BYTES = 256 * 1024;
-/** Lines a second, at most: a few for each request that one instance can take. */
-const MOST_LINES_PER_SECOND = 500;
+/** Maximum bytes buffered for the log reader; a stalled reader must not block the process. */
+const MAX_PENDING_BYTES = 256 * 1024;
+/** Maximum lines per second: a few for each request that one instance can serve. */
+const MAX_LINES_PER_SECOND = 500;
 
-/** Where lines go, with the number of bytes that wait there. */
+/** Destination of log lines; `writableLength` is the number of buffered bytes. */
 export interface LineSink {
   readonly writableLength: number;
   write(text: string): boolean;
 }
 
 /**
- * Writes lines to a sink, at a bounded rate and with bounded memory; what is left out is counted and
- * said in the next line that gets through.
+ * Writes lines to a sink with bounded rate and memory. Dropped lines are counted, and the count is
+ * logged before the next line that is written.
  */
-export class BoundedLines {
+export class BoundedLineWriter {
   private dropped = 0;
   private second = 0;
   private lines = 0;
@@ -57,14 +57,14 @@
   constructor(private readonly sink: LineSink) {}
 
   /**
-   * Writes a line, or leaves it out.
-   * @example new BoundedLines(process.stdout).write('event=start', Date.now());
+   * Writes a line, or drops it when a limit is reached.
+   * @example new BoundedLineWriter(process.stdout).write('event=start', Date.now());
    */
   write(line: string, wallMs: number): void {
     const second = Math.floor(wallMs / 1000);
     if (second !== this.second) [this.second, this.lines] = [second, 0];
     this.lines += 1;
-    if (this.lines > MOST_LINES_PER_SECOND || this.sink.writableLength > MOST_PENDING_BYTES) {
+    if (this.lines > MAX_LINES_PER_SECOND || this.sink.writableLength > MAX_PENDING_BYTES) {
       this.dropped += 1;
       return;
     }
@@ -74,31 +74,31 @@
   }
 }
 
-const stdoutLines = new BoundedLines(process.stdout);
+const stdoutWriter = new BoundedLineWriter(process.stdout);
 
 function writeRoarr(message: string): void {
   const parsed = JSON.parse(message) as { context: LogFields; message: string; time: number };
   const time = new Date(parsed.time).toISOString();
-  stdoutLines.write(formatLine({ time, event: parsed.message, ...parsed.context }), parsed.time);
+  stdoutWriter.write(formatLine({ time, event: parsed.message, ...parsed.context }), parsed.time);
 }
 
 /**
- * A log whose every line carries the given pairs.
+ * Creates a log that adds the common fields to every line and drops events below `minLevel`.
  * @example createLog('info', { instance: 'kgl-a-entry-1' }).info('start');
  */
-export function createLog(least: LogLevel, common: LogFields): Log {
+export function createLog(minLevel: LogLevel, commonFields: LogFields): Log {
   ROARR.write = writeRoarr;
-  const from = LOG_LEVELS.indexOf(least);
-  const at =
+  const minIndex = LOG_LEVELS.indexOf(minLevel);
+  const logAt =
     (level: LogLevel) =>
     (event: string, fields: LogFields = {}) => {
-      if (LOG_LEVELS.indexOf(level) < from) return;
-      Roarr({ level, ...common, ...fields } as never, event);
+      if (LOG_LEVELS.indexOf(level) < minIndex) return;
+      Roarr({ level, ...commonFields, ...fields } as never, event);
     };
-  return { debug: at('debug'), info: at('info'), warn: at('warn'), error: at('error') };
+  return { debug: logAt('debug'), info: logAt('info'), warn: logAt('warn'), error: logAt('error') };
 }
 
-/** A log that drops everything, for tests and benches. */
+/** A log that drops everything, for tests and benchmarks. */
 export const silentLog: Log = {
   debug: () => undefined,
   info: () => undefined,
--- a/test/core/logging/log.test.ts
+++ b/test/core/logging/log.test.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BoundedLines, formatLine } from '../../../src/core/logging/index.js';
+import { BoundedLineWriter, formatLine } from '../../../src/core/logging/index.js';
 
-function sink(): { writableLength: number; lines: string[]; write(text: string): boolean } {
+function createSink(): { writableLength: number; lines: string[]; write(text: string): boolean } {
   const lines: string[] = [];
   return { writableLength: 0, lines, write: (text) => lines.push(text) > 0 };
 }
 
-test('a line holds pairs; values with blanks are quoted, undefined ones are left out', () => {
+test('a line holds key=value pairs; values with spaces are quoted, undefined ones are omitted', () => {
   assert.equal(
     formatLine({ event: 'start', port: 80, why: 'a b', none: undefined }),
     'event=start port=80 why="a b"',
   );
 });
 
-test('lines beyond the rate are left out and counted', () => {
-  const out = sink();
-  const lines = new BoundedLines(out);
+test('lines beyond the rate limit are dropped and counted', () => {
+  const out = createSink();
+  const lines = new BoundedLineWriter(out);
   for (let i = 0; i < 2000; i += 1) lines.write(`n=${i}`, 5000);
   assert.ok(out.lines.length <= 500);
   lines.write('n=later', 6000);
@@ -24,9 +24,9 @@
   assert.equal(out.lines.at(-1), 'n=later\n');
 });
 
-test('a reader that stands still costs bounded memory', () => {
-  const out = sink();
-  const lines = new BoundedLines(out);
+test('a stalled reader costs bounded memory', () => {
+  const out = createSink();
+  const lines = new BoundedLineWriter(out);
   out.writableLength = 1024 * 1024;
   lines.write('n=1', 1000);
   assert.equal(out.lines.length, 0);
