--- a/src/core/metrics/metrics.ts
+++ b/src/core/metrics/metrics.ts
@@ -1,17 +1,17 @@
-/** Counters and histograms of one daemon, printed in the Prometheus text format. */
+/** Counters, gauges and histograms of one daemon, in the Prometheus text format. */
 import { build, type Histogram } from 'hdr-histogram-js';
 
-/** Label values of one series. */
+/** Label names and values of one series. */
 export type Labels = Record<string, string>;
 
-/** Quantiles printed of every histogram. */
+/** Quantiles exposed for every histogram. */
 const QUANTILES = [0.5, 0.95, 0.99, 1] as const;
 
 function seriesKey(name: string, labels: Labels): string {
-  const inner = Object.entries(labels)
+  const pairs = Object.entries(labels)
     .map(([key, value]) => `${key}="${value.replace(/["\\\n]/g, '_')}"`)
     .join(',');
-  return inner ? `${name}{${inner}}` : name;
+  return pairs ? `${name}{${pairs}}` : name;
 }
 
 function withLabel(series: string, label: string): string {
@@ -19,20 +19,20 @@
   return `${series.slice(0, -1)},${label}}`;
 }
 
-function suffixed(series: string, suffix: string): string {
+function withSuffix(series: string, suffix: string): string {
   const brace = series.indexOf('{');
   if (brace < 0) return series + suffix;
   return series.slice(0, brace) + suffix + series.slice(brace);
 }
 
-/** All series of one daemon. */
+/** Registry of all series of one daemon. */
 export class Metrics {
   private readonly counters = new Map<string, number>();
   private readonly gauges = new Map<string, () => number>();
   private readonly histograms = new Map<string, { values: Histogram; sum: number }>();
 
   /**
-   * Adds to a counter.
+   * Increments a counter.
    * @example metrics.count('refusals_total', { reason: 'busy' });
    */
   count(name: string, labels: Labels = {}, by = 1): void {
@@ -40,18 +40,19 @@
     this.counters.set(key, (this.counters.get(key) ?? 0) + by);
   }
 
-  /** Current value of a counter, 0 when never counted. */
+  /** Returns a counter's value, 0 if it was never incremented. */
   value(name: string, labels: Labels = {}): number {
     return this.counters.get(seriesKey(name, labels)) ?? 0;
   }
 
-  /** A gauge, read when printed. */
+  /** Registers a gauge, whose value is read on each exposition. */
   gauge(name: string, read: () => number): void {
     this.gauges.set(name, read);
   }
 
   /**
-   * Records a duration in microseconds; negative or NaN values are counted, not recorded.
+   * Records a duration in microseconds. Negative and NaN values only increment
+   * `bad_observations_total`.
    * @example metrics.observe('first_byte_us', 1250);
    */
   observe(name: string, microseconds: number, labels: Labels = {}): void {
@@ -63,18 +64,18 @@
     this.histograms.set(key, entry);
   }
 
-  /** Quantile of a histogram, in microseconds; NaN when nothing was recorded. */
+  /** Returns a quantile of a histogram in microseconds; NaN when it has no observations. */
   quantile(name: string, quantile: number, labels: Labels = {}): number {
     const entry = this.histograms.get(seriesKey(name, labels));
     return entry ? entry.values.getValueAtPercentile(quantile * 100) : Number.NaN;
   }
 
-  /** Counters as plain data. */
+  /** Returns the counters as a plain object. */
   snapshot(): Record<string, number> {
     return Object.fromEntries(this.counters);
   }
 
-  /** The Prometheus text exposition. */
+  /** Returns all series in the Prometheus text exposition format. */
   print(): string {
     const lines: string[] = [];
     for (const [key, value] of this.counters) lines.push(`harrierglade_${key} ${value}`);
@@ -84,8 +85,8 @@
         const value = values.getValueAtPercentile(q * 100);
         lines.push(`harrierglade_${withLabel(key, `quantile="${q}"`)} ${value}`);
       }
-      lines.push(`harrierglade_${suffixed(key, '_sum')} ${Math.round(sum)}`);
-      lines.push(`harrierglade_${suffixed(key, '_count')} ${values.totalCount}`);
+      lines.push(`harrierglade_${withSuffix(key, '_sum')} ${Math.round(sum)}`);
+      lines.push(`harrierglade_${withSuffix(key, '_count')} ${values.totalCount}`);
     }
     return `${lines.join('\n')}\n`;
   }
--- a/test/core/metrics/metrics.test.ts
+++ b/test/core/metrics/metrics.test.ts
@@ -15,7 +15,7 @@
   assert.match(text, /^harrierglade_request_us_count\{role="entry"\} 3$/m);
 });
 
-test('observations that are no durations are counted, not recorded', () => {
+test('negative and NaN observations are counted but not recorded', () => {
   const metrics = new Metrics();
   for (const bad of [-1, Number.NaN]) metrics.observe('request_us', bad);
   assert.equal(metrics.value('bad_observations_total', { name: 'request_us' }), 2);
