--- a/src/core/errors/errors.ts
+++ b/src/core/errors/errors.ts
@@ -1,7 +1,7 @@
-/** Typed errors made from the table of kinds. */
+/** Typed errors built from the table of error kinds. */
 import { ERROR_KINDS, type ErrorKind, type Outcome, type Reason } from './kinds.js';
 
-/** An error of one kind, with what is known about the request it ends. */
+/** An error of one kind, with details and the outcome of the request that it ends. */
 export class HarriergladeError extends Error {
   constructor(
     readonly reason: Reason,
@@ -9,29 +9,29 @@
     readonly outcome: Outcome,
     readonly retryAfterS?: number,
   ) {
-    const row: ErrorKind = ERROR_KINDS[reason];
-    super(`${row.title}: ${row.message(facts)} ${row.hint}`);
+    const kind: ErrorKind = ERROR_KINDS[reason];
+    super(`${kind.title}: ${kind.message(facts)} ${kind.remedy}`);
     this.name = 'HarriergladeError';
   }
 }
 
 /**
- * An error for a request that truly did not run.
+ * Creates an error for a request that is certain not to have run.
  * @example notRun('model-unknown', 'gpt-0').outcome // 'not-run'
  */
-export function notRun(reason: Reason, facts = '', retryAfterS?: number): HarriergladeError {
-  return new HarriergladeError(reason, facts, 'not-run', retryAfterS);
+export function notRun(reason: Reason, detail = '', retryAfterS?: number): HarriergladeError {
+  return new HarriergladeError(reason, detail, 'not-run', retryAfterS);
 }
 
 /**
- * An error for a request that may have run.
- * @example unknown('answer-lost', 'connection reset').outcome // 'unknown'
+ * Creates an error for a request that may have run.
+ * @example outcomeUnknown('answer-lost', 'connection reset').outcome // 'unknown'
  */
-export function unknown(reason: Reason, facts = '', retryAfterS?: number): HarriergladeError {
-  return new HarriergladeError(reason, facts, 'unknown', retryAfterS);
+export function unknown(reason: Reason, detail = '', retryAfterS?: number): HarriergladeError {
+  return new HarriergladeError(reason, detail, 'unknown', retryAfterS);
 }
 
-/** Body of a refusal, RFC 9457 with the members that harrierglade adds. */
+/** Body of an error response: RFC 9457 problem details with extension members. */
 export interface Problem {
   readonly type: string;
   readonly title: string;
@@ -44,39 +44,39 @@
 }
 
 /**
- * The caller's view of an error.
+ * Converts an error to the problem details sent to the caller.
  * @example toProblem(notRun('stopping')).status // 503
  */
 export function toProblem(err: HarriergladeError): Problem {
-  const row: ErrorKind = ERROR_KINDS[err.reason];
+  const kind: ErrorKind = ERROR_KINDS[err.reason];
   return {
     type: `urn:harrierglade:${err.reason}`,
-    title: row.title,
-    status: row.status,
-    detail: row.message(err.facts),
+    title: kind.title,
+    status: kind.status,
+    detail: kind.message(err.facts),
     reason: err.reason,
-    remedy: row.hint,
+    remedy: kind.remedy,
     outcome: err.outcome,
-    retryAfterS: err.retryAfterS ?? row.retryAfterS,
+    retryAfterS: err.retryAfterS ?? kind.retryAfterS,
   };
 }
 
-/** Codes of a call whose answer did not come, or did not come to its end, in time. */
-const TIMEOUT_CODES = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT']);
+/** Codes of undici errors for a response whose headers or body did not arrive in time. */
+const TIMEOUT_ERROR_CODES = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT']);
 
 /**
- * Whether something was thrown because its time was over, also where it stands behind another error.
+ * Whether an error, or one in its chain of causes, is a timeout.
  * @example isTimeout(AbortSignal.timeout(5).reason) // true, 5 ms later
  */
 export function isTimeout(err: unknown): boolean {
   if (!(err instanceof Error)) return false;
   const { code } = err as NodeJS.ErrnoException;
-  return err.name === 'TimeoutError' || TIMEOUT_CODES.has(code ?? '') || isTimeout(err.cause);
+  return err.name === 'TimeoutError' || TIMEOUT_ERROR_CODES.has(code ?? '') || isTimeout(err.cause);
 }
 
 /**
- * Whether a call was ended by whoever made it: its time was over, or its signal aborted without a reason of its own.
- * @example isGivenUp(AbortSignal.abort().reason) // true
+ * Whether the caller ended the call: by a timeout, or by aborting its signal without a custom reason.
+ * @example isAbortOrTimeout(AbortSignal.abort().reason) // true
  */
 export function isGivenUp(err: unknown): boolean {
   if (!(err instanceof Error)) return false;
@@ -84,7 +84,7 @@
 }
 
 /**
- * Text of anything thrown, for logs.
+ * Formats any thrown value for logs.
  * @example errorText(new Error('reset')) // 'reset'
  */
 export function errorText(err: unknown): string {
--- a/src/core/errors/kinds.ts
+++ b/src/core/errors/kinds.ts
@@ -1,36 +1,37 @@
-/** The one table of error kinds: what went wrong, whether it ran, and what helps. */
+/** The table of error kinds: HTTP status, title, message and remedy of each. */
 
-/** What a refusal says about the request: it did not run, or nobody can say. */
+/** Whether the request is certain not to have run, or may have run. */
 export type Outcome = 'not-run' | 'unknown';
 
-/** One row of the table. */
+/** One kind of error. */
 export interface ErrorKind {
-  /** HTTP status towards the caller. */
+  /** HTTP status of the response to the caller. */
   readonly status: number;
   readonly title: string;
-  /** What happened, from the facts at hand. */
-  readonly message: (facts: string) => string;
-  /** The remedy, an order to whoever reads it. */
-  readonly hint: string;
-  /** Seconds after which coming back may help; absent when it does not. */
+  /** Builds the message from the details of one occurrence. */
+  readonly message: (detail: string) => string;
+  /** What the reader should do, as an instruction. */
+  readonly remedy: string;
+  /** Seconds after which a retry may succeed; absent when it would not. */
   readonly retryAfterS?: number;
 }
 
 function kind(
   status: number,
   title: string,
-  message: (facts: string) => string,
-  hint: string,
+  message: (detail: string) => string,
+  remedy: string,
   retryAfterS?: number,
 ): ErrorKind {
-  return { status, title, message, hint, retryAfterS };
+  return { status, title, message, remedy, retryAfterS };
 }
 
-const AGAIN_LATER = 'Send the request again after the time in Retry-After.';
-const ELSEWHERE = 'Send the request again at once; another entry takes it.';
-const MAY_HAVE_RUN = 'Find out whether it ran before you send it again, unless it may run twice.';
+const RETRY_LATER = 'Send the request again after the time in Retry-After.';
+const RETRY_NOW = 'Send the request again at once; another entry can serve it.';
+const CHECK_OUTCOME =
+  'Check whether the request ran before you send it again, unless it is safe to run twice.';
 
-/** Every reason that a daemon gives; the name is the `reason` label of the counters. */
+/** Every reason for which a daemon refuses; the key is also the `reason` label of the counters. */
 export const ERROR_KINDS = {
   'settings-invalid': kind(500, 'Settings are invalid', (f) => f, 'Correct the named settings.'),
   'settings-unreadable': kind(
@@ -47,7 +48,7 @@
   ),
   'plan-stale': kind(
     409,
-    'Plan rests on an old version',
+    'Plan is based on an old version',
     (f) => f,
     'Make a new plan from the latest version.',
   ),
@@ -65,9 +66,9 @@
   ),
   'document-raced': kind(
     409,
-    'Document was made from an old version',
+    'Document is based on an old version',
     (f) => f,
-    'Make the change again from the version in force and publish it with basedOn set to the newest version.',
+    'Redo the change on the version in force and publish it with basedOn set to the newest version.',
   ),
   'document-old': kind(
     409,
@@ -75,23 +76,23 @@
     (f) => f,
     'Nothing to do: the daemon keeps the version in force.',
   ),
-  'no-config': kind(503, 'No configuration yet', (f) => f, ELSEWHERE, 2),
-  'proof-old': kind(503, 'Configuration is not proved to be the newest', (f) => f, ELSEWHERE),
-  stopping: kind(503, 'Entry is stopping', (f) => f, ELSEWHERE, 1),
-  busy: kind(503, 'All places are taken', (f) => f, AGAIN_LATER, 1),
-  outage: kind(503, 'No endpoint serves', (f) => f, AGAIN_LATER, 2),
-  resting: kind(503, 'Endpoints asked for rest', (f) => f, AGAIN_LATER, 2),
-  limited: kind(503, 'Endpoints take no more requests now', (f) => f, AGAIN_LATER, 1),
+  'no-config': kind(503, 'No configuration yet', (f) => f, RETRY_NOW, 2),
+  'proof-old': kind(503, 'Configuration is not confirmed as current', (f) => f, RETRY_NOW),
+  stopping: kind(503, 'Entry is stopping', (f) => f, RETRY_NOW, 1),
+  busy: kind(503, 'All slots are taken', (f) => f, RETRY_LATER, 1),
+  outage: kind(503, 'No endpoint is serving', (f) => f, RETRY_LATER, 2),
+  resting: kind(503, 'Endpoints requested a backoff', (f) => f, RETRY_LATER, 2),
+  limited: kind(503, 'Endpoints are at their request limit', (f) => f, RETRY_LATER, 1),
   'crashes-endpoints': kind(
     503,
-    'Endpoints that began to run it crashed',
+    'Endpoints crashed after starting the request',
     (f) => f,
-    'Do not send the same request again; change what it asks for, or tell the operators.',
+    'Do not send the same request again; change it, or report it to the operators.',
     300,
   ),
-  'no-endpoint': kind(503, 'No endpoint can take it', (f) => f, AGAIN_LATER, 2),
-  'not-run': kind(503, 'No endpoint ran it', (f) => f, AGAIN_LATER, 1),
-  'id-missing': kind(400, 'No request id', (f) => f, 'Send an id of its own with each request.'),
+  'no-endpoint': kind(503, 'No endpoint can accept the request', (f) => f, RETRY_LATER, 2),
+  'not-run': kind(503, 'No endpoint ran the request', (f) => f, RETRY_LATER, 1),
+  'id-missing': kind(400, 'No request id', (f) => f, 'Send a unique id with each request.'),
   'route-unknown': kind(
     404,
     'No such route',
@@ -104,8 +105,8 @@
     (f) => f,
     'Send the key of your organisation as Authorization: Bearer, or ask the operators to publish it.',
   ),
-  'answer-lost': kind(502, 'Answer was lost on the way', (f) => f, MAY_HAVE_RUN),
-  'time-over': kind(504, 'Not answered in time', (f) => f, MAY_HAVE_RUN),
+  'answer-lost': kind(502, 'Response was lost', (f) => f, CHECK_OUTCOME),
+  'time-over': kind(504, 'No response in time', (f) => f, CHECK_OUTCOME),
   'model-unknown': kind(
     404,
     'Unknown model',
@@ -124,7 +125,12 @@
     () => 'The body ended before its announced length.',
     'Send the whole body.',
   ),
-  'body-late': kind(408, 'Body came too slowly', (f) => f, 'Send the body within the time limit.'),
+  'body-late': kind(
+    408,
+    'Body arrived too slowly',
+    (f) => f,
+    'Send the body within the time limit.',
+  ),
   'body-large': kind(413, 'Body is too large', (f) => f, 'Send a smaller body.'),
   'header-invalid': kind(400, 'Header is not valid', (f) => f, 'Correct the named header.'),
   'streams-exceeded': kind(
@@ -134,29 +140,29 @@
     'Wait for open requests to end before sending more.',
     1,
   ),
-  'share-exceeded': kind(429, 'Organisation is over its share', (f) => f, AGAIN_LATER, 1),
+  'share-exceeded': kind(429, 'Organisation exceeds its share', (f) => f, RETRY_LATER, 1),
   sacrificed: kind(
     503,
-    'Given up for an event',
+    'Sacrificed for an event',
     (f) => f,
-    'Come back after the event, at the time in Retry-After.',
+    'Send the request again after the event, at the time in Retry-After.',
     30,
   ),
   'deadline-unreachable': kind(
     503,
-    'Cannot finish in time',
+    'Deadline cannot be met',
     (f) => f,
-    'Come back after the time in Retry-After, or allow a longer deadline.',
+    'Send the request again after the time in Retry-After, or allow a longer deadline.',
     1,
   ),
   'deadline-passed': kind(504, 'Deadline has passed', (f) => f, 'Allow a longer deadline.'),
-  'retry-budget': kind(503, 'Retry budget is spent', (f) => f, AGAIN_LATER, 2),
+  'retry-budget': kind(503, 'Retry budget is exhausted', (f) => f, RETRY_LATER, 2),
 } satisfies Record<string, ErrorKind>;
 
-/** Name of a row. */
+/** Key of an error kind. */
 export type Reason = keyof typeof ERROR_KINDS;
 
-/** Reasons after which a request may have run; every other one promises that it never will. */
+/** Reasons after which a request may have run; all others guarantee that it did not and will not. */
 export const MAY_HAVE_RUN_REASONS: ReadonlySet<Reason> = new Set<Reason>([
   'answer-lost',
   'time-over',
--- a/test/core/errors/errors.test.ts
+++ b/test/core/errors/errors.test.ts
@@ -15,22 +15,22 @@
 test('every kind has a status, a title, a message and a remedy', () => {
   for (const [reason, row] of Object.entries(ERROR_KINDS) as [Reason, ErrorKind][]) {
     assert.ok(row.status >= 400 && row.status < 600, reason);
-    assert.ok(row.title.length > 3 && row.hint.endsWith('.'), reason);
+    assert.ok(row.title.length > 3 && row.remedy.endsWith('.'), reason);
     assert.equal(typeof row.message('facts'), 'string');
     assert.ok(
-      new HarriergladeError(reason, 'Facts.', 'not-run').message.includes(row.hint),
+      new HarriergladeError(reason, 'Facts.', 'not-run').message.includes(row.remedy),
       reason,
     );
   }
 });
 
-test('a problem carries reason, remedy, outcome and when to come back', () => {
+test('problem details carry status, outcome and retry time', () => {
   const problem = toProblem(notRun('share-exceeded', 'Too much.', 7));
   assert.deepEqual([problem.status, problem.outcome, problem.retryAfterS], [429, 'not-run', 7]);
   assert.equal(toProblem(unknown('answer-lost')).outcome, 'unknown');
 });
 
-test('an error that stands for a time-out is known as one, however it was wrapped', async () => {
+test('a timeout is recognised through a chain of causes', async () => {
   const signal = AbortSignal.timeout(1);
   await new Promise((done) => signal.addEventListener('abort', done));
   const { reason } = signal as { reason: Error };
@@ -40,7 +40,7 @@
   assert.equal(isTimeout('TimeoutError'), false);
 });
 
-test('an error of a signal that was aborted, with or without a reason, is known as given up', () => {
+test('an aborted call is recognised, whether its signal has a default reason or a timeout', () => {
   const plain = new Error('the call failed', { cause: AbortSignal.abort().reason });
   assert.equal(isGivenUp(plain), true);
   assert.equal(isTimeout(plain), false);
