--- a/src/core/ids/ids.ts
+++ b/src/core/ids/ids.ts
@@ -1,20 +1,20 @@
-/** Branded ids: strings that the compiler keeps apart. */
+/** Branded string types for ids, so that the compiler tells kinds of ids apart. */
 import { randomBytes } from 'node:crypto';
 
 declare const brand: unique symbol;
-/** A string of one kind; ids of different kinds do not mix. */
+/** An id of one kind, not assignable to an id of another kind. */
 export type Id<Kind extends string> = string & { readonly [brand]: Kind };
 
 export type InstanceId = Id<'instance'>;
 export type EndpointId = Id<'endpoint'>;
-/** A group of ranks in lock-step; a service may have several. */
+/** A group of ranks that run in lockstep; a service may have several groups. */
 export type GroupId = Id<'group'>;
 export type OrganisationId = Id<'organisation'>;
-/** One start of one daemon: a restarted process has another. */
+/** Identifies one run of a daemon process; a restart gets a new one. */
 export type Incarnation = Id<'incarnation'>;
 
 /**
- * Marks a checked string as an id of one kind.
+ * Casts a validated string to an id of one kind.
  * @example const endpoint = asId<EndpointId>('kgl-a-model-1');
  */
 export function asId<T extends Id<string>>(text: string): T {
@@ -22,7 +22,7 @@
 }
 
 /**
- * A fresh incarnation: start time (ms, base 36) and 48 random bits.
+ * Generates an incarnation: start time (ms, base 36) and 48 random bits.
  * @example newIncarnation(Date.now()) // 'mip3k2x0-9f1c22ab03de'
  */
 export function newIncarnation(wallMs: number): Incarnation {
