--- a/src/core/result/index.ts
+++ b/src/core/result/index.ts
@@ -1,4 +1,4 @@
-/** Results by ts-results, which ships as CommonJS and so has no named exports here. */
+/** Re-exports ts-results, a CommonJS package whose named exports ES modules cannot import. */
 import results, { type Result } from 'ts-results';
 
 export const { Ok, Err } = results;
