--- a/src/core/clock/suspension.ts
+++ b/src/core/clock/suspension.ts
@@ -1,7 +1,7 @@
 /**
- * A clock for safety-critical ages on instances that may be suspended. The monotonic clock does not
- * count suspended time, the wall clock does but can be set; Node has no clock that counts suspended
- * time and cannot be set.
+ * A clock for ages that guarantees depend on, on instances that may be suspended. The monotonic
+ * clock does not count suspended time, the wall clock does but can be set; Node has no clock that
+ * counts suspended time and cannot be set.
  */
 import type { Clock } from './clock.js';
 
@@ -14,7 +14,7 @@
  * two cannot be told apart, so the difference counts as elapsed time: held state ages by it and is
  * confirmed again within a second. Without this, an entry resuming from a 5 s suspension accepted a
  * key that had been revoked 7 s before (suspension.test). A reading costs 0.15 us more than reading
- * the monotonic clock alone, and no system call.
+ * the monotonic clock alone, and makes no system call.
  *
  * Not detected: a suspension during which the wall clock is set back by the same amount.
  */
