--- a/src/core/logging/enable-roarr.ts
+++ b/src/core/logging/enable-roarr.ts
@@ -1,2 +1,5 @@
-/** Enables roarr, which reads this variable when it loads. The `logLevel` setting filters by level. */
+/**
+ * Enables roarr, which writes nothing unless this variable is set before it loads. The `logLevel`
+ * setting decides which events are written.
+ */
 process.env['ROARR_LOG'] = 'true';
