--- a/src/daemon/context.ts
+++ b/src/daemon/context.ts
@@ -1,4 +1,4 @@
-/** Makes what the parts of one daemon share. */
+/** Builds the context that the components of one daemon share. */
 import { buildConnector } from 'undici';
 import { pauseDetector, systemClock } from '../core/clock/index.js';
 import { FeedStore } from '../core/config-feed/index.js';
@@ -9,24 +9,24 @@
 import type { FullSettings } from '../core/settings/index.js';
 import { CONNECT_MS, createPeers } from '../rpc/index.js';
 import { KeptConnections, type DaemonContext } from '../runtime/index.js';
-import type { SocketBytes } from './traffic.js';
+import type { SocketByteCounter } from './traffic.js';
 
-/** Time that an idle connection to another daemon is kept, ms. */
-const KEEP_ALIVE_MS = 30_000;
+/** How long an idle connection to another daemon stays open, ms. */
+const KEEP_ALIVE_TIMEOUT_MS = 30_000;
 
-/** Whether the daemon was told to stop. */
-export interface Leaving {
-  told: boolean;
+/** Whether a stop of the daemon was requested; set by `Daemon.stop`. */
+export interface ShutdownState {
+  isRequested: boolean;
 }
 
 /**
- * Puts the shared parts together.
- * @example const ctx = createDaemonContext(settings, { told: false }, countSocketBytes(), signal);
+ * Builds the shared context of a daemon: log, metrics, feed, connections and suspension detector.
+ * @example const ctx = createDaemonContext(settings, { isRequested: false }, counter, signal);
  */
 export function createDaemonContext(
   settings: FullSettings,
-  leaving: Leaving,
-  bytes: SocketBytes,
+  shutdown: ShutdownState,
+  socketBytes: SocketByteCounter,
   signal: AbortSignal,
 ): DaemonContext {
   const clock = systemClock;
@@ -39,8 +39,8 @@
     if (store.list && store.list.version !== view.version) view = buildInstanceView(store.list);
   });
   const connections = new KeptConnections({
-    connect: bytes.connector(buildConnector({ timeout: CONNECT_MS })),
-    keepAliveTimeout: KEEP_ALIVE_MS,
+    connect: socketBytes.connector(buildConnector({ timeout: CONNECT_MS })),
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     connections: null,
     pipelining: 1,
   });
@@ -48,7 +48,8 @@
     metrics.count('pauses_total');
     log.warn('process.paused', { gapMs: Math.round(gapMs) });
   });
-  const listedLeaving = (): boolean => view.byInstance.get(settings.instance)?.state === 'leaving';
+  const isListedAsLeaving = (): boolean =>
+    view.byInstance.get(settings.instance)?.state === 'leaving';
   return {
     settings,
     self: asId<InstanceId>(settings.instance),
@@ -63,7 +64,7 @@
     peers: createPeers(connections),
     connections,
     pause,
-    isLeaving: () => leaving.told || listedLeaving(),
+    isLeaving: () => shutdown.isRequested || isListedAsLeaving(),
     signal,
   };
 }
--- a/src/daemon/entry.ts
+++ b/src/daemon/entry.ts
@@ -1,10 +1,10 @@
-/** Role entry: the gateway behind the product's own interface, fed by the operators' documents. */
+/** Role entry: the gateway with the caller API, configured by the published documents. */
 import {
   createCallerApi,
   DecisionRecord,
   OrganisationLimits,
-  publishedConfig,
-  publishedEndpoints,
+  toPublishedConfig,
+  toPublishedEndpoints,
 } from '../caller-api/index.js';
 import { KnownLimits, ShareLimiter, type Sharers } from '../core/backpressure/index.js';
 import { SuspensionClock } from '../core/clock/index.js';
@@ -13,47 +13,50 @@
 import { createContext, createGateway, shareOf, type Gateway } from '../gateway/index.js';
 import type { DaemonContext } from '../runtime/index.js';
 
-/** Retries that all entries together may make beyond their share, so that a quiet service has some. */
-const RETRY_EXTRA = 480;
-/** Time within which these, and the share of the requests in it, may be taken, ms. */
-const RETRY_WINDOW_MS = 10_000;
-/** Time that a caller may leave a connection idle, ms: longer than clients' own. */
-const IDLE_MS = 65_000;
-/** How often endpoints that are gone are dropped, ms. */
-const PRUNE_MS = 2000;
+/** Retries per window of all entries together, beyond the retry share, so that quiet services have some. */
+const RETRY_BUDGET_EXTRA = 480;
+/** Window of the retry budget, ms: over it the extra retries and the share of requests are counted. */
+const RETRY_BUDGET_WINDOW_MS = 10_000;
+/** Idle timeout of a caller's connection, ms: longer than the clients' own timeouts. */
+const CALLER_IDLE_TIMEOUT_MS = 65_000;
+/** How often the state of removed endpoints is deleted, ms. */
+const PRUNE_INTERVAL_MS = 2000;
 
-/** A started entry. */
+/** The components of a running entry. */
 export interface Entry {
   readonly gateway: Gateway;
   readonly decisions: DecisionRecord;
   close(): void;
 }
 
-function limitsOf(ctx: DaemonContext): CallerLimits {
+function callerLimits(ctx: DaemonContext): CallerLimits {
   const { headerBytes, bodyBytes, bodyMs } = ctx.settings.limits;
-  return { headerBytes, bodyBytes, headerMs: bodyMs, idleMs: IDLE_MS };
+  return { headerBytes, bodyBytes, headerMs: bodyMs, idleMs: CALLER_IDLE_TIMEOUT_MS };
 }
 
-/** The live entries of the list share the limits that endpoints name; each keeps what it was told itself. */
-function sharersOf(ctx: DaemonContext): Sharers {
+/**
+ * The live entries in the instance list share the rate limits that endpoints announce. Each entry
+ * knows only the limits it received itself.
+ */
+function limitPeers(ctx: DaemonContext): Sharers {
   const entries = ctx.view().all.filter((i) => i.role === 'entry' && i.state === 'live');
-  const names = entries.map((i) => i.instance).sort();
-  const place = names.indexOf(ctx.self);
-  return { place: place < 0 ? undefined : place, count: Math.max(1, names.length) };
+  const entryNames = entries.map((i) => i.instance).sort();
+  const index = entryNames.indexOf(ctx.self);
+  return { place: index < 0 ? undefined : index, count: Math.max(1, entryNames.length) };
 }
 
-/** Takes each document and list that the feed accepted into the gateway's state. */
-function follow(ctx: DaemonContext, state: PublishedState): void {
+/** Applies each document and list that the feed accepts to the gateway's state. */
+function applyFeedChanges(ctx: DaemonContext, state: PublishedState): void {
   ctx.store.onChange(() => {
     const doc = ctx.store.config;
     if (!doc) return;
-    state.offerConfig(publishedConfig(doc, limitsOf(ctx)), ctx.clock.nowMs());
-    state.offerList(publishedEndpoints(ctx.view(), doc.body), false);
+    state.offerConfig(toPublishedConfig(doc, callerLimits(ctx)), ctx.clock.nowMs());
+    state.offerList(toPublishedEndpoints(ctx.view(), doc.body), false);
   });
 }
 
 /**
- * Starts the parts of an entry.
+ * Starts the gateway of an entry; its server does not listen yet.
  * @example const entry = startEntry(ctx); entry.gateway.server.listen(port);
  */
 export function startEntry(ctx: DaemonContext): Entry {
@@ -62,7 +65,7 @@
   const state = new PublishedState();
   const body = () => ctx.store.config?.body;
   let sequence = 0;
-  const callers = createCallerApi({
+  const callerApi = createCallerApi({
     body,
     nextRequestId: () => {
       sequence += 1;
@@ -74,35 +77,35 @@
       metrics,
       body,
       liveEntries: () => Math.max(1, ctx.view().liveEntries),
-      mostOpen: settings.limits.streamsPerOrganisation,
+      maxOpenRequests: settings.limits.streamsPerOrganisation,
     }),
   });
   const ageClock = new SuspensionClock(clock);
   const limits = new KnownLimits(ageClock);
-  const sharing = { state, limits, sharers: () => sharersOf(ctx) };
+  const shareInput = { state, limits, sharers: () => limitPeers(ctx) };
   const gatewayCtx = createContext({
     settings: {
-      // The feed takes no document back, and its keys need no proof of freshness.
+      // The feed never withdraws a document, and its keys need no freshness check.
       keyProofMs: Number.POSITIVE_INFINITY,
       configApplyMs: Number.POSITIVE_INFINITY,
       bodyMs: settings.limits.bodyMs,
       parserHeaderBytes: settings.limits.headerBytes,
-      retryExtra: RETRY_EXTRA,
-      retryWindowMs: RETRY_WINDOW_MS,
+      retryExtra: RETRY_BUDGET_EXTRA,
+      retryWindowMs: RETRY_BUDGET_WINDOW_MS,
     },
     retryShare: () => body()?.policy.retryShare ?? 0,
-    callers,
+    callers: callerApi,
     state,
     clock,
     ageClock,
-    // Daemons of this interface have no relays; each keeps what it has seen itself.
+    // Daemons with this API have no relays, so each entry keeps its observations to itself.
     tellCrashes: () => undefined,
     tellLeaving: () => undefined,
     limits,
     limiterOf: (endpoint) =>
-      new ShareLimiter(ageClock, ctx.random, () => shareOf(sharing, endpoint)),
+      new ShareLimiter(ageClock, ctx.random, () => shareOf(shareInput, endpoint)),
     random: ctx.random,
-    log: decisions.watch(ctx.log),
+    log: decisions.recordFrom(ctx.log),
     metrics,
     dataCentre: asId(settings.dataCentre),
     sightOf: () => undefined,
@@ -110,17 +113,17 @@
     groupSize: () => undefined,
     groupOf: () => undefined,
   });
-  follow(ctx, state);
-  const pruning = setInterval(() => {
+  applyFeedChanges(ctx, state);
+  const pruneTimer = setInterval(() => {
     gatewayCtx.endpoints.prune();
     limits.forget((id) => state.list.has(id));
-  }, PRUNE_MS);
-  pruning.unref();
+  }, PRUNE_INTERVAL_MS);
+  pruneTimer.unref();
   return {
     gateway: createGateway(gatewayCtx),
     decisions,
     close: () => {
-      clearInterval(pruning);
+      clearInterval(pruneTimer);
       gatewayCtx.endpoints.close();
     },
   };
--- a/src/daemon/operators.ts
+++ b/src/daemon/operators.ts
@@ -1,18 +1,20 @@
-/** The operators' address: health, readiness, counters, status and past decisions. */
+/** HTTP server for operators: health, readiness, metrics, status, configuration and past decisions. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { DecisionRecord } from '../caller-api/index.js';
 import type { DaemonContext } from '../runtime/index.js';
 
-/** Parts that an operator can look into. */
-export interface OperatorParts {
+/** What the operators' server reads from the daemon. */
+export interface OperatorServerDeps {
   readonly ctx: DaemonContext;
+  /** Requests in flight. */
   readonly running: () => number;
+  /** Past decisions; on entries only. */
   readonly decisions: DecisionRecord | undefined;
-  /** State of the group's map switch, on agents. */
+  /** State of the group's switch to a new map; on agents only. */
   readonly group: (() => object) | undefined;
 }
 
-/** What `harrierglade status` shows of one daemon. */
+/** The JSON of `/status`, which `harrierglade status` prints for each daemon. */
 export interface DaemonStatus {
   readonly instance: string;
   readonly incarnation: string;
@@ -28,10 +30,10 @@
   readonly group: object | undefined;
 }
 
-const LATEST = 20;
+const MAX_LATEST_DECISIONS = 20;
 
-function statusOf(parts: OperatorParts): DaemonStatus {
-  const { ctx } = parts;
+function statusOf(deps: OperatorServerDeps): DaemonStatus {
+  const { ctx } = deps;
   const versions = ctx.store.versions();
   return {
     instance: ctx.self,
@@ -40,12 +42,12 @@
     dataCentre: ctx.settings.dataCentre,
     ready: versions.config > 0 && !ctx.isLeaving(),
     leaving: ctx.isLeaving(),
-    running: parts.running(),
+    running: deps.running(),
     config: versions.config,
     digest: ctx.store.config?.digest ?? '',
     list: versions.list,
     refusedDocuments: ctx.store.refused,
-    group: parts.group?.(),
+    group: deps.group?.(),
   };
 }
 
@@ -59,45 +61,46 @@
   res.end(text);
 }
 
-function explain(parts: OperatorParts, url: URL, res: ServerResponse): void {
-  if (!parts.decisions)
+function handleExplain(deps: OperatorServerDeps, url: URL, res: ServerResponse): void {
+  if (!deps.decisions)
     return sendJson(res, 404, {
-      error: 'This daemon is an agent: ask the entry that served the request.',
+      error:
+        'This daemon is an agent and keeps no decisions: query the entry that served the request.',
     });
   const id = url.searchParams.get('id');
-  if (!id) return sendJson(res, 200, parts.decisions.latest(LATEST));
-  const note = parts.decisions.find(id);
-  if (note) return sendJson(res, 200, note);
+  if (!id) return sendJson(res, 200, deps.decisions.latest(MAX_LATEST_DECISIONS));
+  const decision = deps.decisions.find(id);
+  if (decision) return sendJson(res, 200, decision);
   sendJson(res, 404, {
-    error: `No decision ${id} is kept: ask the entry whose name begins the id, soon after the request.`,
+    error: `Decision ${id} is not kept: query the entry whose name begins the id, soon after the request.`,
   });
 }
 
-function serve(parts: OperatorParts, req: IncomingMessage, res: ServerResponse): void {
+function handleRequest(deps: OperatorServerDeps, req: IncomingMessage, res: ServerResponse): void {
   const url = new URL(req.url ?? '/', 'http://operators');
   if (url.pathname === '/healthz') return sendText(res, 200, 'ok\n');
   if (url.pathname === '/readyz') {
-    const { ready } = statusOf(parts);
+    const { ready } = statusOf(deps);
     return sendText(
       res,
       ready ? 200 : 503,
-      ready ? 'ready\n' : 'not ready: no configuration, or leaving\n',
+      ready ? 'ready\n' : 'not ready: no configuration yet, or leaving\n',
     );
   }
-  if (url.pathname === '/metrics') return sendText(res, 200, parts.ctx.metrics.print());
-  if (url.pathname === '/counters') return sendJson(res, 200, parts.ctx.metrics.snapshot());
-  if (url.pathname === '/status') return sendJson(res, 200, statusOf(parts));
-  if (url.pathname === '/configuration') return sendJson(res, 200, parts.ctx.store.config ?? null);
-  if (url.pathname === '/explain') return explain(parts, url, res);
+  if (url.pathname === '/metrics') return sendText(res, 200, deps.ctx.metrics.print());
+  if (url.pathname === '/counters') return sendJson(res, 200, deps.ctx.metrics.snapshot());
+  if (url.pathname === '/status') return sendJson(res, 200, statusOf(deps));
+  if (url.pathname === '/configuration') return sendJson(res, 200, deps.ctx.store.config ?? null);
+  if (url.pathname === '/explain') return handleExplain(deps, url, res);
   sendJson(res, 404, {
     error: 'Use /healthz, /readyz, /metrics, /counters, /status, /configuration or /explain.',
   });
 }
 
 /**
- * Makes the operators' server.
- * @example createOperatorServer(parts).listen(9000, '127.0.0.1');
+ * Creates the operators' server.
+ * @example createOperatorServer(deps).listen(9000, '127.0.0.1');
  */
-export function createOperatorServer(parts: OperatorParts): Server {
-  return createServer((req, res) => serve(parts, req, res));
+export function createOperatorServer(deps: OperatorServerDeps): Server {
+  return createServer((req, res) => handleRequest(deps, req, res));
 }
--- a/src/daemon/platform-client.ts
+++ b/src/daemon/platform-client.ts
@@ -1,34 +1,39 @@
-/** Reads and watches the platform's configuration service. It is never written to. */
+/** Read-only client of the platform's configuration service. */
 import type { PlatformClient } from '../core/config-feed/index.js';
 import type { KeptConnections } from '../runtime/index.js';
 
-/** Paths of the platform's two values. */
-export const PLATFORM_PATH = { config: '/configuration', list: '/instances' } as const;
-const SLACK_MS = 2000;
-const NOT_MODIFIED = 304;
+/** Paths of the configuration document and the instance list. */
+export const PLATFORM_PATHS = { config: '/configuration', list: '/instances' } as const;
+/** Time allowed beyond the wait of a watch, and for reading its body, ms. */
+const TIMEOUT_MARGIN_MS = 2000;
+const HTTP_NOT_MODIFIED = 304;
 
 /**
- * A client of the platform at one URL; a watch answers undefined when nothing newer came in time.
- * @example const doc = await connectPlatform(connections, url).watchConfig(0, 0, signal);
+ * A client of the platform at one URL; a watch resolves to undefined when no newer version appears
+ * within its wait.
+ * @example const doc = await createPlatformClient(connections, url).watchConfig(0, 0, signal);
  */
-export function connectPlatform(connections: KeptConnections, url: string): PlatformClient {
-  const watch =
+export function createPlatformClient(connections: KeptConnections, url: string): PlatformClient {
+  const watchPath =
     (path: string) =>
-    (above: number, waitMs: number, signal: AbortSignal): Promise<unknown> => {
-      const call = {
+    (knownVersion: number, waitMs: number, signal: AbortSignal): Promise<unknown> => {
+      const request = {
         origin: url,
-        path: `${path}?above=${above}&wait=${waitMs}`,
+        path: `${path}?above=${knownVersion}&wait=${waitMs}`,
         method: 'GET' as const,
         signal,
-        headersTimeout: waitMs + SLACK_MS,
-        bodyTimeout: SLACK_MS,
+        headersTimeout: waitMs + TIMEOUT_MARGIN_MS,
+        bodyTimeout: TIMEOUT_MARGIN_MS,
       };
-      return connections.call(call, async ({ statusCode, body }) => {
+      return connections.call(request, async ({ statusCode, body }) => {
         if (statusCode === 200) return body.json();
         await body.dump();
-        if (statusCode === NOT_MODIFIED) return undefined;
-        throw new Error(`The platform answered ${statusCode} at ${path}.`);
+        if (statusCode === HTTP_NOT_MODIFIED) return undefined;
+        throw new Error(`The platform responded with status ${statusCode} to GET ${path}.`);
       });
     };
-  return { watchConfig: watch(PLATFORM_PATH.config), watchList: watch(PLATFORM_PATH.list) };
+  return {
+    watchConfig: watchPath(PLATFORM_PATHS.config),
+    watchList: watchPath(PLATFORM_PATHS.list),
+  };
 }
--- a/src/daemon/start.ts
+++ b/src/daemon/start.ts
@@ -1,4 +1,4 @@
-/** Starts one daemon from checked settings, and stops it without cutting what runs. */
+/** Starts one daemon from validated settings, and stops it after its requests have drained. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { connectEndpoint, startRank, type Rank } from '../agent/index.js';
@@ -8,13 +8,13 @@
 import { CONNECT_MS, serveRpc, type DaemonCalls } from '../rpc/index.js';
 import type { DaemonContext } from '../runtime/index.js';
 import { listen } from '../runtime/listen.js';
-import { createDaemonContext, type Leaving } from './context.js';
+import { createDaemonContext, type ShutdownState } from './context.js';
 import { startEntry, type Entry } from './entry.js';
 import { createOperatorServer } from './operators.js';
-import { connectPlatform } from './platform-client.js';
-import { countSocketBytes } from './traffic.js';
+import { createPlatformClient } from './platform-client.js';
+import { createSocketByteCounter } from './traffic.js';
 
-/** Ports that were opened. */
+/** Ports that the daemon listens on. */
 export interface DaemonPorts {
   readonly callers: number | undefined;
   readonly daemons: number;
@@ -25,19 +25,19 @@
 export interface Daemon {
   readonly ctx: DaemonContext;
   readonly ports: DaemonPorts;
-  /** Takes no new work, waits for what runs, at most the limit; lists what was cut. */
+  /** Refuses new requests and waits for those in flight, at most `drainMs`; counts those cut off. */
   stop(): Promise<{ cut: number }>;
-  /** Ends at once. */
+  /** Stops at once, cutting off the requests in flight. */
   kill(): void;
 }
 
-const DRAIN_POLL_MS = 25;
-/** Largest message between daemons, bytes: a document of thousands of organisations. */
+const DRAIN_POLL_INTERVAL_MS = 25;
+/** Largest message between daemons, bytes: fits a document with thousands of organisations. */
 const MAX_RPC_BYTES = 4 * 1024 * 1024;
-/** Longer than the clients' own, so that a client never writes into a connection just closed. */
-const KEEP_ALIVE_MS = 65_000;
+/** Longer than the clients' own timeout, so that a client never writes to a connection just closed. */
+const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
-function baseCalls(ctx: DaemonContext): Pick<DaemonCalls, 'hello' | 'feedWatch'> {
+function commonHandlers(ctx: DaemonContext): Pick<DaemonCalls, 'hello' | 'feedWatch'> {
   return {
     hello: () => ({
       instance: ctx.self,
@@ -53,21 +53,21 @@
 }
 
 function createDaemonServer(ctx: DaemonContext, rank: Rank | undefined): Server {
-  const calls = { ...baseCalls(ctx), ...(rank && { rank: rank.serve }) };
-  return serveRpc(calls, {
+  const handlers = { ...commonHandlers(ctx), ...(rank && { rank: rank.serve }) };
+  return serveRpc(handlers, {
     maxBytes: MAX_RPC_BYTES,
-    keepAliveMs: KEEP_ALIVE_MS,
+    keepAliveMs: KEEP_ALIVE_TIMEOUT_MS,
     onError: (path, code) => ctx.metrics.count('rpc_errors_total', { path, code }),
   });
 }
 
-function startOwnRank(ctx: DaemonContext): Rank | undefined {
+function startRankIfAgent(ctx: DaemonContext): Rank | undefined {
   const { endpoint } = ctx.settings;
   if (ctx.settings.role !== 'agent' || !endpoint) return undefined;
   return startRank(ctx, connectEndpoint(ctx.connections, endpoint.url), endpoint);
 }
 
-/** Follows the published documents, through relays where there are some. */
+/** Follows the published documents, through relays where there are any. */
 function startFeed(ctx: DaemonContext): ReturnType<typeof runFeed> {
   const { settings } = ctx;
   const { timing } = settings;
@@ -81,12 +81,16 @@
       startMs: timing.startMs,
       store: ctx.store,
       view: ctx.view,
-      platform: connectPlatform(ctx.connections, settings.platform.url),
+      platform: createPlatformClient(ctx.connections, settings.platform.url),
       watchPeer: async (address, held, waitMs, signal) => {
-        const timed = AbortSignal.any([signal, AbortSignal.timeout(waitMs + CONNECT_MS * 2)]);
+        const signalWithTimeout = AbortSignal.any([
+          signal,
+          AbortSignal.timeout(waitMs + CONNECT_MS * 2),
+        ]);
         return (await ctx.peers
           .at(address)
-          .feedWatch.query({ ...held, waitMs }, { signal: timed })) as FeedUpdate | undefined;
+          .feedWatch.query({ ...held, waitMs }, { signal: signalWithTimeout })) as
+          FeedUpdate | undefined;
       },
       clock: ctx.clock,
       random: ctx.random,
@@ -98,12 +102,12 @@
 }
 
 async function drain(ctx: DaemonContext, running: () => number): Promise<number> {
-  const untilMs = ctx.clock.nowMs() + ctx.settings.timing.drainMs;
-  while (running() > 0 && ctx.clock.nowMs() < untilMs) await sleep(DRAIN_POLL_MS);
+  const deadlineMs = ctx.clock.nowMs() + ctx.settings.timing.drainMs;
+  while (running() > 0 && ctx.clock.nowMs() < deadlineMs) await sleep(DRAIN_POLL_INTERVAL_MS);
   return running();
 }
 
-/** Processor time of this process so far, microseconds. */
+/** CPU time that this process has used, microseconds. */
 function processCpuUs(): number {
   const { user, system } = process.cpuUsage();
   return user + system;
@@ -112,21 +116,21 @@
 const portOf = (server: Server): number => (server.address() as AddressInfo).port;
 
 /**
- * Starts a daemon; resolves once its addresses are open and the published state was asked for.
+ * Starts a daemon; resolves once it listens and has requested the published state.
  * @example const daemon = await startDaemon(settings); await daemon.stop();
  */
 export async function startDaemon(settings: FullSettings): Promise<Daemon> {
-  const ending = new AbortController();
-  const leaving: Leaving = { told: false };
-  const bytes = countSocketBytes();
-  const ctx = createDaemonContext(settings, leaving, bytes, ending.signal);
-  const rank = startOwnRank(ctx);
+  const abortController = new AbortController();
+  const shutdown: ShutdownState = { isRequested: false };
+  const socketBytes = createSocketByteCounter();
+  const ctx = createDaemonContext(settings, shutdown, socketBytes, abortController.signal);
+  const rank = startRankIfAgent(ctx);
   const entry: Entry | undefined = settings.role === 'entry' ? startEntry(ctx) : undefined;
   const running = (): number => entry?.gateway.running() ?? 0;
 
   const daemons = createDaemonServer(ctx, rank);
-  bytes.trackServer(daemons);
-  ctx.metrics.gauge('socket_bytes', bytes.total);
+  socketBytes.trackServer(daemons);
+  ctx.metrics.gauge('socket_bytes', socketBytes.total);
   ctx.metrics.gauge('cpu_us', () => processCpuUs());
   ctx.metrics.gauge('running', running);
   const operators = createOperatorServer({
@@ -139,9 +143,9 @@
   await listen(operators, settings.listen.operators);
   const feed = startFeed(ctx);
   await feed.started;
-  // Callers are let in only now: a daemon that knows nothing could only refuse.
+  // Listens for callers last: without the published state every request would be refused.
   if (entry && settings.listen.callers) await listen(entry.gateway.server, settings.listen.callers);
-  const work = rank?.run(ending.signal);
+  const rankTask = rank?.run(abortController.signal);
   const ports: DaemonPorts = {
     callers: entry && settings.listen.callers && portOf(entry.gateway.server),
     daemons: portOf(daemons),
@@ -154,7 +158,7 @@
   });
 
   const kill = (): void => {
-    ending.abort();
+    abortController.abort();
     ctx.pause.stop();
     entry?.close();
     for (const server of [entry?.gateway.server, daemons, operators]) {
@@ -168,13 +172,13 @@
     ports,
     kill,
     stop: async () => {
-      leaving.told = true;
+      shutdown.isRequested = true;
       entry?.gateway.stop();
       ctx.log.info('daemon.leaving', { running: running() });
       const cut = await drain(ctx, running);
       ctx.log.info('daemon.stopped', { cut });
       kill();
-      await Promise.allSettled([feed.ended, work]);
+      await Promise.allSettled([feed.ended, rankTask]);
       return { cut };
     },
   };
--- a/src/daemon/traffic.ts
+++ b/src/daemon/traffic.ts
@@ -1,40 +1,40 @@
-/** Counts the bytes on all sockets of a daemon, so that the cost of control can be read off when idle. */
+/** Counts the bytes on all sockets of a daemon; in an idle daemon they are the control traffic. */
 import type { Server } from 'node:http';
 import type { Socket } from 'node:net';
 import type { buildConnector } from 'undici';
 
-/** Bytes read and written so far, on sockets open and closed. */
-export interface SocketBytes {
+/** Counts the bytes read and written on open and closed sockets. */
+export interface SocketByteCounter {
   track(socket: Socket): void;
   /** Tracks each connection that a server accepts. */
   trackServer(server: Server): void;
-  /** A connector whose sockets are tracked. */
-  connector(inner: buildConnector.connector): buildConnector.connector;
+  /** Wraps a connector so that its sockets are tracked. */
+  connector(connect: buildConnector.connector): buildConnector.connector;
   total(): number;
 }
 
 /**
- * A fresh count.
- * @example const bytes = countSocketBytes(); metrics.gauge('socket_bytes', bytes.total);
+ * Creates a counter that starts at zero.
+ * @example const counter = createSocketByteCounter(); metrics.gauge('socket_bytes', counter.total);
  */
-export function countSocketBytes(): SocketBytes {
+export function createSocketByteCounter(): SocketByteCounter {
   const open = new Set<Socket>();
-  let closed = 0;
+  let closedBytes = 0;
   const track = (socket: Socket): void => {
     open.add(socket);
     socket.once('close', () => {
       open.delete(socket);
-      closed += socket.bytesRead + socket.bytesWritten;
+      closedBytes += socket.bytesRead + socket.bytesWritten;
     });
   };
   return {
     track,
     trackServer: (server) => void server.on('connection', track),
-    connector: (inner) => (options, callback) =>
-      inner(options, (...result) => {
+    connector: (connect) => (options, callback) =>
+      connect(options, (...result) => {
         if (result[1]) track(result[1]);
         callback(...(result as [null, Socket]));
       }),
-    total: () => [...open].reduce((sum, s) => sum + s.bytesRead + s.bytesWritten, closed),
+    total: () => [...open].reduce((sum, s) => sum + s.bytesRead + s.bytesWritten, closedBytes),
   };
 }
