--- a/src/rpc/consts.ts
+++ b/src/rpc/consts.ts
@@ -1,6 +1,6 @@
-/** Names on the wire between daemons. */
+/** Constants of the RPC between daemons. */
 
-/** Path below which trpc is served. */
+/** Path prefix of the tRPC procedures. */
 export const RPC_PATH = '/rpc/';
-/** Longest connect to another daemon, ms. */
+/** Connect timeout to another daemon, ms. */
 export const CONNECT_MS = 1000;
--- a/src/rpc/peers.ts
+++ b/src/rpc/peers.ts
@@ -1,4 +1,4 @@
-/** Clients of other daemons, one for each address, all over the same kept connections. */
+/** tRPC clients of other daemons, one per address, over shared keep-alive connections. */
 import { createTRPCClient, httpLink, type TRPCClient } from '@trpc/client';
 import type { Dispatcher } from 'undici';
 import { isGivenUp } from '../core/errors/index.js';
@@ -10,25 +10,25 @@
 /** A client of one daemon. */
 export type PeerClient = TRPCClient<DaemonRouter>;
 
-/** Calls other daemons by address. */
+/** Clients of other daemons by address, `host:port`. */
 export interface Peers {
   at(address: string): PeerClient;
 }
 
 /**
- * Asks relays for what is published.
- * @example new RelayedSource({ ...parts, ask: askRelay(peers) })
+ * Returns a function that requests the published state from a relay.
+ * @example new RelayedSource({ ...deps, ask: requestFromRelay(peers) })
  */
 export function askRelay(peers: Peers): AskRelay {
   return (address, ask, withinMs) =>
     peers.at(address).published.query(ask, { signal: AbortSignal.timeout(withinMs) });
 }
 
-/** Clients kept at once: more than any fleet has daemons. */
+/** Clients cached at once: more than any fleet has daemons. */
 const MAX_CLIENTS = 4096;
 
-/** The part of fetch that trpc's link uses. */
-interface FetchInit {
+/** The options of fetch that tRPC's HTTP link sets. */
+interface FetchOptions {
   readonly method?: string;
   readonly headers?: Record<string, string>;
   readonly body?: string;
@@ -36,13 +36,13 @@
 }
 
 /**
- * What trpc needs of fetch, straight on kept connections: the whole of fetch costs several times as
- * much processor time a call (docs/EXPERIMENTS.md).
+ * The subset of fetch that tRPC needs, on keep-alive connections: the full fetch costs several
+ * times as much CPU time per call (docs/EXPERIMENTS.md).
  */
-function plainFetch(connections: KeptConnections) {
-  return (url: string, init: FetchInit = {}): Promise<object> => {
+function createFetch(connections: KeptConnections) {
+  return (url: string, init: FetchOptions = {}): Promise<object> => {
     const { origin, pathname, search } = new URL(url);
-    const call = {
+    const request = {
       origin,
       path: pathname + search,
       method: (init.method ?? 'GET') as Dispatcher.HttpMethod,
@@ -50,28 +50,28 @@
       body: init.body ?? null,
       signal: init.signal ?? null,
     };
-    const read = async ({ statusCode, body }: Dispatcher.ResponseData): Promise<object> => {
+    const readResponse = async ({ statusCode, body }: Dispatcher.ResponseData): Promise<object> => {
       const data = await body.json();
       return { ok: statusCode < 400, status: statusCode, json: () => Promise.resolve(data) };
     };
-    // trpc passes a time-out on as a plain abort. Calls are else ended with the task that made them, where new connections
-    // cost little.
-    return connections.call(call, read, isGivenUp);
+    // tRPC reports a timeout as a plain abort, so every abort counts as an unresponsive connection.
+    // Other aborts come only when the calling task ends, where new connections cost little.
+    return connections.call(request, readResponse, isGivenUp);
   };
 }
 
 /**
- * Makes the clients; each is made once and holds no connection of its own.
+ * Creates the clients on first use; they are cached and hold no connections of their own.
  * @example await peers.at('127.0.0.1:7001').hello.query(undefined, { signal })
  */
 export function createPeers(connections: KeptConnections): Peers {
   const clients = new Map<string, PeerClient>();
-  const fetch = plainFetch(connections) as never;
+  const fetch = createFetch(connections) as never;
   return {
     at(address) {
-      const known = clients.get(address);
-      if (known) return known;
-      // Addresses of replaced instances are never asked for again.
+      const existing = clients.get(address);
+      if (existing) return existing;
+      // The addresses of replaced instances are never used again, so the cache is simply emptied.
       if (clients.size >= MAX_CLIENTS) clients.clear();
       const link = httpLink({
         url: `http://${address}${RPC_PATH.slice(0, -1)}`,
--- a/src/rpc/router.ts
+++ b/src/rpc/router.ts
@@ -1,4 +1,4 @@
-/** The trpc router that every daemon serves to the others. */
+/** The tRPC router that every daemon serves to the others. */
 import { initTRPC, TRPCError } from '@trpc/server';
 import type { FeedUpdate } from '../core/config-feed/index.js';
 import type {
@@ -28,29 +28,29 @@
   isTokenRequest,
 } from '../generated/messages.validator.js';
 
-/** What a daemon does for others; each role answers some of it. */
+/** Handlers of the calls from other daemons; each role implements some of them. */
 export interface DaemonCalls {
   hello?(): HelloAnswer;
   feedWatch?(input: FeedWatchInput): Promise<FeedUpdate | undefined>;
   rank?(order: RankOrder): Promise<RankReply>;
-  /** Passes an order on to others of the group. */
+  /** Forwards an order to other members of the group. */
   branch?(order: BranchOrder): Promise<BranchReply>;
-  /** What is published, as this daemon knows it; held until there is news. */
+  /** The published state as this daemon knows it; long poll, held until there is an update. */
   published?(ask: PublishedAsk): Promise<PublishedNews>;
-  /** Takes what another entry saw of requests that crash endpoints. */
+  /** Merges another entry's observations of requests that crash endpoints. */
   crashes?(news: CrashNews): void;
-  /** Takes what endpoints asked another entry for. */
+  /** Merges the backpressure signals that another entry received from endpoints. */
   asks?(news: AskNews): void;
   /** Grants a token for a request to an endpoint with a rate limit. */
   token?(request: TokenRequest): TokenGrant;
-  /** The group as last seen; undefined before the first look. */
+  /** The group's last known state; undefined before the first poll. */
   group?(ask: GroupAsk): GroupDigest | undefined;
 }
 
 const trpc = initTRPC.create();
 
-/** A trpc input parser from a generated check. */
-function checked<T>(check: (data: unknown) => data is T): (data: unknown) => T {
+/** Makes a tRPC input parser from a generated validator. */
+function inputParser<T>(check: (data: unknown) => data is T): (data: unknown) => T {
   return (data) => {
     if (check(data)) return data;
     throw new TRPCError({
@@ -60,8 +60,8 @@
   };
 }
 
-function required<T>(call: T | undefined): T {
-  if (call) return call;
+function requireHandler<T>(handler: T | undefined): T {
+  if (handler) return handler;
   throw new TRPCError({
     code: 'NOT_IMPLEMENTED',
     message: 'This daemon does not serve the call: send it to one in the role that does.',
@@ -69,39 +69,39 @@
 }
 
 /**
- * Builds the router over a daemon's calls.
- * @example createHTTPHandler({ router: buildRouter(calls), basePath: RPC_PATH })
+ * Builds the router from a daemon's handlers.
+ * @example createHTTPHandler({ router: buildRouter(handlers), basePath: RPC_PATH })
  */
-// The return type is inferred: it is the type of the wire, and DaemonRouter names it.
-export function buildRouter(calls: DaemonCalls) {
+// The return type is inferred: DaemonRouter names it, and clients derive their types from it.
+export function buildRouter(handlers: DaemonCalls) {
   return trpc.router({
-    hello: trpc.procedure.query(() => required(calls.hello)()),
+    hello: trpc.procedure.query(() => requireHandler(handlers.hello)()),
     feedWatch: trpc.procedure
-      .input(checked(isFeedWatchInput))
-      .query(({ input }) => required(calls.feedWatch)(input)),
+      .input(inputParser(isFeedWatchInput))
+      .query(({ input }) => requireHandler(handlers.feedWatch)(input)),
     group: trpc.procedure
-      .input(checked(isGroupAsk))
-      .query(({ input }) => required(calls.group)(input)),
+      .input(inputParser(isGroupAsk))
+      .query(({ input }) => requireHandler(handlers.group)(input)),
     rank: trpc.procedure
-      .input(checked(isRankOrder))
-      .mutation(({ input }) => required(calls.rank)(input)),
+      .input(inputParser(isRankOrder))
+      .mutation(({ input }) => requireHandler(handlers.rank)(input)),
     published: trpc.procedure
-      .input(checked(isPublishedAsk))
-      .query(({ input }) => required(calls.published)(input)),
+      .input(inputParser(isPublishedAsk))
+      .query(({ input }) => requireHandler(handlers.published)(input)),
     crashes: trpc.procedure
-      .input(checked(isCrashNews))
-      .mutation(({ input }) => required(calls.crashes)(input)),
+      .input(inputParser(isCrashNews))
+      .mutation(({ input }) => requireHandler(handlers.crashes)(input)),
     asks: trpc.procedure
-      .input(checked(isAskNews))
-      .mutation(({ input }) => required(calls.asks)(input)),
+      .input(inputParser(isAskNews))
+      .mutation(({ input }) => requireHandler(handlers.asks)(input)),
     token: trpc.procedure
-      .input(checked(isTokenRequest))
-      .mutation(({ input }) => required(calls.token)(input)),
+      .input(inputParser(isTokenRequest))
+      .mutation(({ input }) => requireHandler(handlers.token)(input)),
     branch: trpc.procedure
-      .input(checked(isBranchOrder))
-      .mutation(({ input }) => required(calls.branch)(input)),
+      .input(inputParser(isBranchOrder))
+      .mutation(({ input }) => requireHandler(handlers.branch)(input)),
   });
 }
 
-/** Type of the wire between daemons. */
+/** Type of the RPC interface between daemons. */
 export type DaemonRouter = ReturnType<typeof buildRouter>;
--- a/test/rpc/peers.test.ts
+++ b/test/rpc/peers.test.ts
@@ -1,8 +1,8 @@
 /**
- * Story: after all open connections had fallen silent, a call to another daemon that got no answer left the other connections
- * to it in use: time-outs come through trpc as plain aborts, and those were not taken for a silence.
- * Evidence: `published.avoided kind=reset detail="… This operation was aborted"` in logs of the soak (docs/incidents); on that
- * code two of the three last calls of this test get no answer.
+ * Guards against reusing unresponsive connections to another daemon after a call on one timed out.
+ * tRPC reports timeouts as plain aborts, which did not count as timeouts: the pool was kept, and two
+ * of the last three calls of this test got no response. In logs the failure shows as
+ * `published.avoided kind=reset detail="… This operation was aborted"` (docs/incidents).
  */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
@@ -15,12 +15,12 @@
 import { KeptConnections } from '../../src/runtime/kept-connections.js';
 
 const HELLO = { instance: 'entry-1', incarnation: 'l-1', config: 1, list: 1, leaving: false };
-/** An address that no other test listens at. */
+/** An address that no other test listens on. */
 const PROXY = { host: `127.${1 + (process.pid % 200)}.251.1`, port: 21_000 };
-/** Time that a call may take, ms: longer than a busy machine needs for one. */
-const CALL_MS = 1000;
+/** Timeout of a call, ms: longer than one takes on a busy machine. */
+const CALL_TIMEOUT_MS = 1000;
 
-test('after a call to a daemon without an answer no other connection to it is used', async () => {
+test('a call to a daemon that times out retires all open connections to it', async () => {
   const server = serveRpc({ hello: () => HELLO });
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -28,17 +28,21 @@
   const proxy = await LoopbackProxy.start(PROXY, { host: '127.0.0.1', port });
   const connections = new KeptConnections({});
   const peers = createPeers(connections);
-  const ask = (): Promise<object> =>
+  const callHello = (): Promise<object> =>
     peers
       .at(`${PROXY.host}:${PROXY.port}`)
-      .hello.query(undefined, { signal: AbortSignal.timeout(CALL_MS) });
+      .hello.query(undefined, { signal: AbortSignal.timeout(CALL_TIMEOUT_MS) });
   try {
-    await Promise.all([ask(), ask(), ask()]);
-    // A connection is idle a moment after its answer was read.
+    await Promise.all([callHello(), callHello(), callHello()]);
+    // A connection becomes idle shortly after its response is read.
     await wait(10);
     proxy.silence();
-    await assert.rejects(ask());
-    assert.deepEqual(await Promise.all([ask(), ask(), ask()]), [HELLO, HELLO, HELLO]);
+    await assert.rejects(callHello());
+    assert.deepEqual(await Promise.all([callHello(), callHello(), callHello()]), [
+      HELLO,
+      HELLO,
+      HELLO,
+    ]);
   } finally {
     connections.destroy();
     proxy.close();
