--- a/src/runtime/clock-steps.ts
+++ b/src/runtime/clock-steps.ts
@@ -1,10 +1,10 @@
-/** Tells that the machine was suspended, or that its time was set. */
+/** Reports clock steps: the machine was suspended, or its wall clock was set. */
 import type { Log } from '../core/logging/index.js';
 import type { Metrics } from '../core/metrics/index.js';
 
 /**
- * What is done at each step of the time of day ahead of the steady clock: a line and a counter.
- * @example new SuspensionClock(systemClock, noteStep(log, metrics))
+ * Returns a callback for steps of the wall clock ahead of the monotonic clock; it logs and counts them.
+ * @example new SuspensionClock(systemClock, reportClockSteps(log, metrics))
  */
 export function noteStep(log: Log, metrics: Metrics): (stepMs: number) => void {
   return (stepMs) => {
--- a/src/runtime/context.ts
+++ b/src/runtime/context.ts
@@ -1,4 +1,4 @@
-/** What every part of one daemon shares: its settings, clocks, view of the published state, peers. */
+/** The context that the components of one daemon share. */
 import type { KeptConnections } from './kept-connections.js';
 import type { Clock, pauseDetector, Random } from '../core/clock/index.js';
 import type { FeedStore } from '../core/config-feed/index.js';
@@ -9,7 +9,7 @@
 import type { FullSettings } from '../core/settings/index.js';
 import type { Peers } from '../rpc/index.js';
 
-/** Shared by the parts of one daemon. */
+/** Settings, clocks, log, published state and connections of one daemon. */
 export interface DaemonContext {
   readonly settings: FullSettings;
   readonly self: InstanceId;
@@ -24,8 +24,8 @@
   readonly peers: Peers;
   readonly connections: KeptConnections;
   readonly pause: ReturnType<typeof pauseDetector>;
-  /** Whether this instance takes no new work: told to stop, or listed as leaving. */
+  /** Whether this instance takes no new requests: a stop was requested, or it is listed as leaving. */
   readonly isLeaving: () => boolean;
-  /** Aborts when the daemon ends. */
+  /** Aborted when the daemon stops. */
   readonly signal: AbortSignal;
 }
--- a/src/runtime/fresh-pool.ts
+++ b/src/runtime/fresh-pool.ts
@@ -1,13 +1,13 @@
-/** Kept connections to one origin, none of which is used any more once a call on one of them got no answer in time. */
+/** Keep-alive connections to one origin, all replaced once a call on one of them times out. */
 import { Pool } from 'undici';
 
 /**
- * A pool that is replaced when it is found silent.
+ * A connection pool that is replaced as a whole when one of its connections is unresponsive.
  *
- * Connections may fall silent without a reset while new ones work: all that are open at that moment, and each of them shows
- * it only by a time-out of its own. A watch of 3.2 s after another went out on kept connections that were as dead, so that
- * 16 of 48 daemons acted on old news for up to 3.2 s past the bound; a request that may run once only is lost on each.
- * A call that got no answer therefore condemns every connection that was open by then.
+ * All connections open at one moment may stop responding without a reset while new ones work, and
+ * each shows it only by a timeout of its own. Reusing the others cost one 3.2 s watch after another,
+ * so that 16 of 48 daemons acted on stale state for up to 3.2 s past the bound; a request that may
+ * run only once is lost on each. A timeout therefore retires every connection open at that time.
  */
 export class FreshPool {
   private pool: Pool;
@@ -19,15 +19,15 @@
     this.pool = new Pool(origin, options);
   }
 
-  /** The pool for the next call; whoever finds it silent hands it back to `giveUp`. */
+  /** The pool for the next call; a caller whose call times out passes it to `replace`. */
   get current(): Pool {
     return this.pool;
   }
 
   /**
-   * Gives a pool up that a call waited on in vain; false when that was done already. Calls that still run on it may end, its
-   * idle connections are closed.
-   * @example const pool = fresh.current; await pool.request(call).catch(() => fresh.giveUp(pool));
+   * Replaces a pool on which a call timed out; returns false if it was replaced before. Calls in
+   * flight on the old pool may complete; its idle connections are closed.
+   * @example const pool = pools.current; await pool.request(call).catch(() => pools.replace(pool));
    */
   giveUp(pool: Pool): boolean {
     if (pool !== this.pool) return false;
@@ -36,12 +36,12 @@
     return true;
   }
 
-  /** Ends the idle connections, and each other one with what runs on it. */
+  /** Closes idle connections at once and the others when their calls complete. */
   close(): void {
     void this.pool.close();
   }
 
-  /** Ends all connections, and what runs on them. */
+  /** Closes all connections and aborts the calls in flight on them. */
   destroy(): void {
     void this.pool.destroy();
   }
--- a/src/runtime/kept-connections.ts
+++ b/src/runtime/kept-connections.ts
@@ -1,58 +1,58 @@
-/** Kept connections to many origins, as daemons have to each other and to the platform. */
+/** Keep-alive connections to many origins, such as other daemons and the platform. */
 import type { Dispatcher, Pool } from 'undici';
 import { isTimeout } from '../core/errors/index.js';
 import { FreshPool } from './fresh-pool.js';
 
-/** Origins for which connections are kept at once: more than any fleet has daemons. */
-const MOST_ORIGINS = 4096;
+/** Origins with a pool at once: more than any fleet has daemons. */
+const MAX_ORIGINS = 4096;
 
-/** One call; `origin` and `path` tell where it goes. */
-export type Call = Dispatcher.RequestOptions & { readonly origin: string };
+/** Options of one request, with the origin that it goes to. */
+export type OriginRequest = Dispatcher.RequestOptions & { readonly origin: string };
 
-/** Connections by origin; those of an origin that got silent are not used any more. */
+/** Connection pools by origin; the pool of an unresponsive origin is replaced. */
 export class KeptConnections {
   private readonly pools = new Map<string, FreshPool>();
 
   constructor(private readonly options: Pool.Options) {}
 
   /**
-   * Makes a call and reads its answer; rejects where it is not read to its end in time. Which errors show that no answer came
-   * depends on who made the signal.
-   * @example const text = await connections.call({ origin, path, method: 'GET', signal }, (res) => res.body.text());
+   * Sends a request and reads its response; rejects if that does not complete in time. Which errors
+   * mean that the origin was unresponsive depends on the caller's signal.
+   * @example const text = await pools.call({ origin, path, method: 'GET', signal }, (r) => r.body.text());
    */
   async call<T>(
-    call: Call,
+    call: OriginRequest,
     read: (res: Dispatcher.ResponseData) => Promise<T>,
-    isSilence: (err: unknown) => boolean = isTimeout,
+    isUnresponsive: (err: unknown) => boolean = isTimeout,
   ): Promise<T> {
-    const kept = this.at(call.origin);
-    const pool = kept.current;
+    const originPool = this.poolFor(call.origin);
+    const pool = originPool.current;
     try {
       return await read(await pool.request(call));
     } catch (err) {
-      if (isSilence(err)) kept.giveUp(pool);
+      if (isUnresponsive(err)) originPool.giveUp(pool);
       throw err;
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections and aborts the calls in flight. */
   destroy(): void {
     for (const pool of this.pools.values()) pool.destroy();
     this.pools.clear();
   }
 
-  private at(origin: string): FreshPool {
-    const known = this.pools.get(origin);
-    if (known) return known;
+  private poolFor(origin: string): FreshPool {
+    const existing = this.pools.get(origin);
+    if (existing) return existing;
     this.dropOldest();
-    const made = new FreshPool(origin, this.options);
-    this.pools.set(origin, made);
-    return made;
+    const created = new FreshPool(origin, this.options);
+    this.pools.set(origin, created);
+    return created;
   }
 
-  /** Addresses of replaced instances are never asked for again. */
+  /** Evicts the oldest pool: the addresses of replaced instances are never used again. */
   private dropOldest(): void {
-    if (this.pools.size < MOST_ORIGINS) return;
+    if (this.pools.size < MAX_ORIGINS) return;
     const [oldest] = this.pools.keys();
     if (oldest === undefined) return;
     this.pools.get(oldest)?.close();
--- a/src/runtime/listen.ts
+++ b/src/runtime/listen.ts
@@ -1,8 +1,8 @@
-/** Opens a server's address. */
+/** Binds a server to its address. */
 import type { Server } from 'node:http';
 
 /**
- * Resolves once the server listens; rejects where the address cannot be had.
+ * Resolves once the server listens; rejects if it cannot bind the address.
  * @example await listen(server, { host: '10.1.0.40', port: 8227 });
  */
 export function listen(server: Server, address: { host: string; port: number }): Promise<void> {
--- a/src/runtime/read-body.ts
+++ b/src/runtime/read-body.ts
@@ -1,10 +1,10 @@
-/** Reads a request's body within a size and a time. */
+/** Reads a request body within a size limit and a time limit. */
 import type { IncomingMessage } from 'node:http';
 import { Err, Ok, type Result } from '../core/result/index.js';
 import { notRun, type HarriergladeError } from '../core/errors/index.js';
 
 /**
- * The whole body, or why there is none.
+ * Resolves to the complete body, or to the error that ended it.
  * @example const body = await readBody(req, 1_048_576, 10_000); if (body.err) return refuse(body.val);
  */
 export function readBody(
@@ -13,29 +13,33 @@
   maxMs: number,
 ): Promise<Result<Buffer, HarriergladeError>> {
   return new Promise((resolve) => {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
-    const end = (result: () => Result<Buffer, HarriergladeError>): void => {
+    const settle = (result: () => Result<Buffer, HarriergladeError>): void => {
       clearTimeout(timer);
-      req.off('data', onData).off('end', onEnd).off('error', onCut).off('close', onCut);
+      req
+        .off('data', onData)
+        .off('end', onEnd)
+        .off('error', onEarlyClose)
+        .off('close', onEarlyClose);
       resolve(result());
     };
-    const onEnd = (): void => end(() => Ok(Buffer.concat(parts)));
-    // Every request closes in the end: the error is only made where the body has not come whole.
-    const onCut = (): void => end(() => Err(notRun('body-cut')));
-    const onData = (part: Buffer): void => {
-      size += part.length;
-      parts.push(part);
+    const onEnd = (): void => settle(() => Ok(Buffer.concat(chunks)));
+    // Every request emits close, so the error is created only if the body is incomplete by then.
+    const onEarlyClose = (): void => settle(() => Err(notRun('body-cut')));
+    const onData = (chunk: Buffer): void => {
+      size += chunk.length;
+      chunks.push(chunk);
       if (size > maxBytes)
-        end(() => Err(notRun('body-large', `The body is larger than ${maxBytes} bytes.`)));
+        settle(() => Err(notRun('body-large', `The body is larger than ${maxBytes} bytes.`)));
     };
     const timer = setTimeout(
-      () => end(() => Err(notRun('body-late', `The body took longer than ${maxMs} ms.`))),
+      () => settle(() => Err(notRun('body-late', `The body took longer than ${maxMs} ms.`))),
       maxMs,
     );
-    // A connection that breaks later on must not end the process.
+    // Without a listener, a later error on the connection would end the process.
     req.on('error', () => undefined);
     req.on('data', onData);
-    req.once('end', onEnd).once('error', onCut).once('close', onCut);
+    req.once('end', onEnd).once('error', onEarlyClose).once('close', onEarlyClose);
   });
 }
--- a/src/runtime/relays.ts
+++ b/src/runtime/relays.ts
@@ -1,13 +1,13 @@
-/** Which entries a daemon hears from what is published. */
+/** Selects the relays from which a daemon receives the published state. */
 import { rendezvousOrder } from '../core/membership/rendezvous.js';
 import type { RelayedParts } from '../core/published/index.js';
 import type { InstanceSettings } from '../gateway/types.js';
 
 /**
- * The relays that a daemon asks, the first to be asked first, and whether it is one of those that the settings name. Each
- * daemon has its own order, so that relays are asked alike, and what one of them served goes to the others alike when it is
- * gone.
- * @example new RelayedSource({ ...parts, ...relayPlace(settings) })
+ * The relays of a daemon in order of preference, its own control address, and whether it is itself
+ * one of the relays in the settings. Rendezvous hashing gives each daemon its own order, so that
+ * load is even across relays, and a failed relay's load spreads evenly over the others.
+ * @example new RelayedSource({ ...deps, ...orderRelays(settings) })
  */
 export function relayPlace({
   instance,
--- a/test/runtime/kept-connections.test.ts
+++ b/test/runtime/kept-connections.test.ts
@@ -1,8 +1,8 @@
 /**
- * Story: after all open connections had fallen silent, a daemon that had just found one out put its next call on another that
- * was as dead, and lost 0.8 to 3.2 s by each.
- * Evidence: `published.lost` twice with an answer between them (docs/incidents); on pools that are kept, three calls in a row
- * fail here.
+ * Guards against reusing unresponsive connections after one of them timed out. All open connections
+ * had stopped responding at once; each further call went out on another of them and lost 0.8 to
+ * 3.2 s. With a pool that is not replaced, three calls in a row fail here. In logs the failure shows
+ * as `published.lost` twice with a response in between (docs/incidents).
  */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
@@ -14,30 +14,30 @@
 import { isTimeout } from '../../src/core/errors/index.js';
 import { KeptConnections } from '../../src/runtime/kept-connections.js';
 
-/** Time that a call may take, ms. */
-const CALL_MS = 150;
-/** Time of a slow answer, ms. */
-const SLOW_MS = 400;
+/** Timeout of a call, ms. */
+const CALL_TIMEOUT_MS = 150;
+/** Delay of a slow response, ms. */
+const SLOW_RESPONSE_MS = 400;
 
 interface Service {
   readonly origin: string;
-  /** Connections that were accepted so far. */
+  /** Connections accepted so far. */
   accepted: number;
-  /** Connections that were closed so far. */
+  /** Connections closed so far. */
   closed: number;
-  /** Whether the connections that are open by now get no answer any more. */
-  silence(): void;
-  /** The same for the one that was opened first. */
-  silenceOne(): void;
+  /** Stops responding on all connections that are open now. */
+  hangAll(): void;
+  /** Stops responding on the connection that was opened first. */
+  hangFirst(): void;
   close(): void;
 }
 
 async function startService(): Promise<Service> {
-  const silent = new WeakSet<object>();
+  const hanging = new WeakSet<object>();
   const open = new Set<object>();
   const server: Server = createServer((req, res) => {
-    if (silent.has(req.socket)) return;
-    setTimeout(() => res.end('fine'), req.url === '/slow' ? SLOW_MS : 20);
+    if (hanging.has(req.socket)) return;
+    setTimeout(() => res.end('fine'), req.url === '/slow' ? SLOW_RESPONSE_MS : 20);
   });
   server.on('connection', (socket) => {
     open.add(socket);
@@ -50,8 +50,8 @@
     origin: `http://127.0.0.1:${(server.address() as AddressInfo).port}`,
     accepted: 0,
     closed: 0,
-    silence: () => open.forEach((socket) => silent.add(socket)),
-    silenceOne: () => void silent.add([...open][0] as object),
+    hangAll: () => open.forEach((socket) => hanging.add(socket)),
+    hangFirst: () => void hanging.add([...open][0] as object),
     close: () => {
       server.close();
       server.closeAllConnections();
@@ -62,22 +62,22 @@
 
 const readText = (res: Dispatcher.ResponseData): Promise<string> => res.body.text();
 
-function ask(connections: KeptConnections, origin: string): Promise<string> {
-  const signal = AbortSignal.timeout(CALL_MS);
+function get(connections: KeptConnections, origin: string): Promise<string> {
+  const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
   const call = { origin, path: '/', method: 'GET' as const, signal };
   return connections.call(call, readText);
 }
 
-/** Runs with a service and connections to it, a few of which are open and idle. */
-async function withIdle(
+/** Runs a test with a service and `count` idle connections to it. */
+async function withIdleConnections(
   count: number,
   run: (service: Service, connections: KeptConnections) => Promise<void>,
 ): Promise<void> {
   const service = await startService();
   const connections = new KeptConnections({ connections: 4 });
   try {
-    await Promise.all(Array.from({ length: count }, () => ask(connections, service.origin)));
-    // A connection is idle a moment after its answer was read.
+    await Promise.all(Array.from({ length: count }, () => get(connections, service.origin)));
+    // A connection becomes idle shortly after its response is read.
     await wait(10);
     assert.equal(service.accepted, count);
     await run(service, connections);
@@ -87,33 +87,33 @@
   }
 }
 
-test('after one call without an answer no other kept connection is used', () =>
-  withIdle(3, async (service, connections) => {
-    service.silence();
-    await assert.rejects(ask(connections, service.origin), isTimeout);
-    const answers = await Promise.all([1, 2].map(() => ask(connections, service.origin)));
+test('a call that times out retires all open connections to the origin', () =>
+  withIdleConnections(3, async (service, connections) => {
+    service.hangAll();
+    await assert.rejects(get(connections, service.origin), isTimeout);
+    const answers = await Promise.all([1, 2].map(() => get(connections, service.origin)));
     assert.deepEqual(answers, ['fine', 'fine']);
   }));
 
-test('what runs on other connections when one is found silent comes to its end', () =>
-  withIdle(2, async (service, connections) => {
+test('calls in flight on other connections complete when one connection times out', () =>
+  withIdleConnections(2, async (service, connections) => {
     const { origin } = service;
-    service.silenceOne();
-    const signal = AbortSignal.timeout(CALL_MS);
-    const lost = connections.call({ origin, path: '/', method: 'GET', signal }, readText);
+    service.hangFirst();
+    const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
+    const timedOut = connections.call({ origin, path: '/', method: 'GET', signal }, readText);
     const slow = connections.call({ origin, path: '/slow', method: 'GET' }, readText);
-    await assert.rejects(lost, isTimeout);
+    await assert.rejects(timedOut, isTimeout);
     assert.equal(await slow, 'fine');
   }));
 
-test('a call that fails otherwise costs its own connection alone', () =>
-  withIdle(2, async (service, connections) => {
+test('an aborted call closes only its own connection', () =>
+  withIdleConnections(2, async (service, connections) => {
     const { origin } = service;
-    const left = new AbortController();
-    const call = { origin, path: '/', method: 'GET' as const, signal: left.signal };
-    const leaving = connections.call(call, readText);
-    left.abort();
-    await assert.rejects(leaving);
-    await ask(connections, origin);
+    const controller = new AbortController();
+    const call = { origin, path: '/', method: 'GET' as const, signal: controller.signal };
+    const aborted = connections.call(call, readText);
+    controller.abort();
+    await assert.rejects(aborted);
+    await get(connections, origin);
     assert.ok(service.closed <= 1, `${service.closed} of 2 closed`);
   }));
