--- a/src/caller-api/chat.ts
+++ b/src/caller-api/chat.ts
@@ -1,17 +1,17 @@
-/** POST /v1/chat/completions: the shape that model clients speak already. */
+/** Parses `POST /v1/chat/completions`, compatible with the OpenAI API so that existing clients work. */
 import { Err, Ok, type Result } from '../core/result/index.js';
 import type { Refusal } from '../gateway/index.js';
 import { BYTES_PER_TOKEN, DEFAULT_OUTPUT_TOKENS } from './consts.js';
 
-/** What a chat request asks for. */
-export interface ChatBody {
+/** The members of a chat request that routing and admission use. */
+export interface ChatRequest {
   readonly model: string;
   readonly isStream: boolean;
-  /** Estimated tokens of prompt and answer together. */
+  /** Estimated tokens of prompt and response together. */
   readonly tokens: number;
 }
 
-function invalid(detail: string): Result<never, Refusal> {
+function invalidBody(detail: string): Result<never, Refusal> {
   return Err({ reason: 'body-invalid', detail });
 }
 
@@ -24,25 +24,31 @@
 }
 
 /**
- * Reads the body of a chat request.
- * @example parseChat(Buffer.from('{"model":"m","messages":[{"content":"x"}]}')).unwrap().isStream // false
+ * Parses and validates the body of a chat request.
+ * @example parseChatRequest(Buffer.from('{"model":"m","messages":[{"content":"x"}]}')).unwrap().isStream // false
  */
-export function parseChat(body: Buffer): Result<ChatBody, Refusal> {
+export function parseChatRequest(body: Buffer): Result<ChatRequest, Refusal> {
   let data: unknown;
   try {
     data = JSON.parse(body.toString('utf8'));
   } catch {
-    return invalid('The body is not JSON.');
+    return invalidBody('The body is not JSON.');
   }
-  if (typeof data !== 'object' || data === null) return invalid('The body is not a JSON object.');
+  if (typeof data !== 'object' || data === null)
+    return invalidBody('The body is not a JSON object.');
   const fields = data as Record<string, unknown>;
   const { model, messages } = fields;
-  const limit = fields['max_completion_tokens'] ?? fields['max_tokens'] ?? DEFAULT_OUTPUT_TOKENS;
-  if (typeof model !== 'string') return invalid('Member "model" is not a string.');
+  const maxOutputTokens =
+    fields['max_completion_tokens'] ?? fields['max_tokens'] ?? DEFAULT_OUTPUT_TOKENS;
+  if (typeof model !== 'string') return invalidBody('Member "model" is not a string.');
   if (!Array.isArray(messages) || messages.length === 0)
-    return invalid('Member "messages" is not a list with entries.');
-  if (!Number.isInteger(limit) || Number(limit) <= 0)
-    return invalid('Member "max_tokens" is not a positive whole number.');
+    return invalidBody('Member "messages" is not a non-empty array.');
+  if (!Number.isInteger(maxOutputTokens) || Number(maxOutputTokens) <= 0)
+    return invalidBody('Member "max_tokens" or "max_completion_tokens" is not a positive integer.');
   const promptTokens = Math.ceil(promptBytes(messages) / BYTES_PER_TOKEN);
-  return Ok({ model, isStream: fields['stream'] === true, tokens: promptTokens + Number(limit) });
+  return Ok({
+    model,
+    isStream: fields['stream'] === true,
+    tokens: promptTokens + Number(maxOutputTokens),
+  });
 }
--- a/src/caller-api/decisions.ts
+++ b/src/caller-api/decisions.ts
@@ -1,26 +1,26 @@
-/** The last requests of this entry, for `harrierglade explain`: kept from the lines of their ends. */
+/** Keeps the log fields of recently ended requests of this entry for `harrierglade explain`. */
 import type { Log, LogFields } from '../core/logging/index.js';
-import { KEPT_DECISIONS } from './consts.js';
+import { MAX_DECISIONS } from './consts.js';
 
-/** What is kept of one request: the fields of its log line. */
+/** The log fields of the end of one request. */
 export type DecisionNote = LogFields & { readonly request: string };
 
-/** Event of the line that ends a request. */
-const END_EVENT = 'request.end';
+/** Log event written at the end of each request. */
+const REQUEST_END_EVENT = 'request.end';
 
-/** A bounded record of requests. */
+/** A bounded record of ended requests; the oldest is evicted first. */
 export class DecisionRecord {
-  private readonly notes = new Map<string, DecisionNote>();
+  private readonly decisions = new Map<string, DecisionNote>();
 
   /**
-   * A log that also keeps the ends of requests.
-   * @example const log = record.watch(createLog('info', {}));
+   * Wraps a log so that the ends of requests are also recorded here.
+   * @example const log = decisions.recordFrom(createLog('info', {}));
    */
-  watch(log: Log): Log {
+  recordFrom(log: Log): Log {
     return {
       debug: (event, fields) => log.debug(event, fields),
       info: (event, fields = {}) => {
-        if (event === END_EVENT) this.keep(fields);
+        if (event === REQUEST_END_EVENT) this.record(fields);
         log.info(event, fields);
       },
       warn: (event, fields) => log.warn(event, fields),
@@ -28,20 +28,20 @@
     };
   }
 
-  /** The note of a request, while it is kept. */
+  /** The decision for a request id; undefined once evicted. */
   find(id: string): DecisionNote | undefined {
-    return this.notes.get(id);
+    return this.decisions.get(id);
   }
 
-  /** The newest notes, newest first. */
+  /** The latest decisions, newest first. */
   latest(count: number): DecisionNote[] {
-    return [...this.notes.values()].slice(-count).reverse();
+    return [...this.decisions.values()].slice(-count).reverse();
   }
 
-  private keep(fields: LogFields): void {
+  private record(fields: LogFields): void {
     const request = String(fields['request']);
-    this.notes.set(request, { ...fields, request });
-    const oldest = this.notes.keys().next().value;
-    if (this.notes.size > KEPT_DECISIONS && oldest !== undefined) this.notes.delete(oldest);
+    this.decisions.set(request, { ...fields, request });
+    const oldest = this.decisions.keys().next().value;
+    if (this.decisions.size > MAX_DECISIONS && oldest !== undefined) this.decisions.delete(oldest);
   }
 }
--- a/src/caller-api/headers.ts
+++ b/src/caller-api/headers.ts
@@ -1,46 +1,46 @@
-/** Reads and writes the headers of the product's own interface. */
+/** Reads and writes the headers of the caller API. */
 import type { IncomingHttpHeaders } from 'node:http';
 import { readAsks } from '../core/backpressure/index.js';
 import { keyHash } from '../core/config-feed/index.js';
 import type { AnswerHead, AttemptMeta, CallerHead } from '../gateway/index.js';
-import { CALLER_HEADER, ENDPOINT_HEADER, MAX_DEADLINE_MS, PRIORITY } from './consts.js';
+import { CALLER_HEADERS, ENDPOINT_HEADERS, MAX_DEADLINE_MS, PRIORITY } from './consts.js';
 
 const BEARER = /^bearer +(\S+)$/i;
 
-/** A header that must be a number within a range, when it is there. */
-interface NumberHeader {
+/** Result of parsing an optional numeric header; empty if the header is absent. */
+interface ParsedNumber {
   readonly value?: number;
-  /** What is wrong with it. */
-  readonly fault?: string;
+  /** Why the header is invalid. */
+  readonly error?: string;
 }
 
-function numberHeader(
+function parseNumberHeader(
   headers: IncomingHttpHeaders,
   name: string,
-  least: number,
-  most: number,
-): NumberHeader {
+  min: number,
+  max: number,
+): ParsedNumber {
   const text = headers[name];
   if (text === undefined) return {};
   const value = Number(text);
-  if (text !== '' && value >= least && value <= most) return { value };
-  return { fault: `Header ${name} is not a number from ${least} to ${most}.` };
+  if (text !== '' && value >= min && value <= max) return { value };
+  return { error: `Header ${name} is not a number from ${min} to ${max}.` };
 }
 
 /**
- * Reads a caller's headers; the request gets an id of ours.
- * @example readCaller(req.headers, 'kgl-a-entry-1/mip3/r7').deadlineMs
+ * Reads the headers of a caller's request, which gets the request id passed in.
+ * @example readRequestHead(req.headers, 'kgl-a-entry-1/mip3/r7').deadlineMs
  */
-export function readCaller(headers: IncomingHttpHeaders, requestId: string): CallerHead {
-  const deadline = numberHeader(headers, CALLER_HEADER.deadline, 1, MAX_DEADLINE_MS);
-  const priority = numberHeader(headers, CALLER_HEADER.priority, PRIORITY.least, PRIORITY.most);
+export function readRequestHead(headers: IncomingHttpHeaders, requestId: string): CallerHead {
+  const deadline = parseNumberHeader(headers, CALLER_HEADERS.deadline, 1, MAX_DEADLINE_MS);
+  const priority = parseNumberHeader(headers, CALLER_HEADERS.priority, PRIORITY.min, PRIORITY.max);
   const key = BEARER.exec(headers.authorization ?? '')?.[1];
-  const invalid = deadline.fault ?? priority.fault;
+  const invalid = deadline.error ?? priority.error;
   return {
     requestId,
     host: '',
     deadlineMs: deadline.value,
-    // Only hashes of keys are published.
+    // The published configuration holds only hashes of keys.
     key: key === undefined ? undefined : keyHash(key),
     resumeAfter: undefined,
     ...(invalid !== undefined && { invalid }),
@@ -48,44 +48,44 @@
 }
 
 /**
- * The headers of one attempt: what the endpoint needs to know, and nothing of the connection.
- * @example writeAttempt(req.headers, meta)['x-organisation']
+ * Headers of one attempt: only what the endpoint needs; the caller's other headers are not forwarded.
+ * @example attemptHeaders(req.headers, meta)['x-organisation']
  */
-export function writeAttempt(
+export function attemptHeaders(
   headers: IncomingHttpHeaders,
   meta: AttemptMeta,
 ): Record<string, string> {
   const type = headers['content-type'];
-  const priority = headers[CALLER_HEADER.priority];
+  const priority = headers[CALLER_HEADERS.priority];
   return {
-    [ENDPOINT_HEADER.requestId]: meta.requestId,
-    [ENDPOINT_HEADER.organisation]: meta.organisation ?? '',
-    [ENDPOINT_HEADER.priority]: String(priority ?? PRIORITY.usual),
+    [ENDPOINT_HEADERS.requestId]: meta.requestId,
+    [ENDPOINT_HEADERS.organisation]: meta.organisation ?? '',
+    [ENDPOINT_HEADERS.priority]: String(priority ?? PRIORITY.default),
     ...(type !== undefined && { 'content-type': type }),
     ...(meta.resumeAfter !== undefined && {
-      [ENDPOINT_HEADER.resumeAfter]: String(meta.resumeAfter),
+      [ENDPOINT_HEADERS.resumeAfter]: String(meta.resumeAfter),
     }),
   };
 }
 
 /**
- * What an endpoint's answer says; own endpoints do not sign.
- * @example readAnswer(200, res.headers).requestId
+ * Reads the head of an endpoint's response; endpoints behind this API need no signature.
+ * @example readResponseHead(200, res.headers).requestId
  */
-export function readAnswer(status: number, headers: IncomingHttpHeaders): AnswerHead {
-  const textOf = (name: string): string | undefined => headers[name]?.toString();
-  const id = headers[ENDPOINT_HEADER.requestId];
+export function readResponseHead(status: number, headers: IncomingHttpHeaders): AnswerHead {
+  const headerText = (name: string): string | undefined => headers[name]?.toString();
+  const id = headers[ENDPOINT_HEADERS.requestId];
   const type = headers['content-type'] ?? 'application/octet-stream';
   return {
     status,
     requestId: typeof id === 'string' ? id : undefined,
     isSigned: true,
-    isNotRun: headers[ENDPOINT_HEADER.notRun] !== undefined,
+    isNotRun: headers[ENDPOINT_HEADERS.notRun] !== undefined,
     isEncoded: headers['content-encoding'] !== undefined,
     asks: readAsks(status, {
-      rest: textOf(ENDPOINT_HEADER.rest),
-      leaving: textOf(ENDPOINT_HEADER.leaving),
-      limit: textOf(ENDPOINT_HEADER.limit),
+      rest: headerText(ENDPOINT_HEADERS.rest),
+      leaving: headerText(ENDPOINT_HEADERS.leaving),
+      limit: headerText(ENDPOINT_HEADERS.limit),
     }),
     headers: {
       'content-type': type,
--- a/src/caller-api/organisation-limits.ts
+++ b/src/caller-api/organisation-limits.ts
@@ -1,33 +1,33 @@
-/** What an organisation may use at this entry: open requests, its share of tokens, an event's order of sacrifice. */
+/** Admission at one entry: open requests per organisation, token shares and sacrifice order of events. */
 import { Admission, pressureOf, type AdmissionRequest } from '../core/admission/index.js';
 import type { Clock } from '../core/clock/index.js';
 import type { Metrics } from '../core/metrics/index.js';
 import { Err, Ok, type Result } from '../core/result/index.js';
 import type { GatewayRequest, Refusal } from '../gateway/index.js';
 import type { ConfigurationBody } from '../generated/configuration.types.js';
-import { CALLER_HEADER, ENDPOINT_SLOTS, PRIORITY, TOKEN_MS } from './consts.js';
+import { CALLER_HEADERS, ASSUMED_ENDPOINT_SLOTS, PRIORITY, ASSUMED_TOKEN_MS } from './consts.js';
 
-/** What the limits need. */
-export interface OrganisationLimitsParts {
+/** Dependencies and options of the limits. */
+export interface OrganisationLimitsDeps {
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly body: () => ConfigurationBody | undefined;
-  /** Entries that share an organisation's tokens. */
+  /** Live entries, among which an organisation's tokens are divided. */
   readonly liveEntries: () => number;
-  /** Requests that one organisation may have open here. */
-  readonly mostOpen: number;
+  /** Open requests allowed per organisation at this entry. */
+  readonly maxOpenRequests: number;
 }
 
-/** Limits of all organisations at one entry. */
+/** Admits requests within the limits of their organisations. */
 export class OrganisationLimits {
   private readonly admission = new Admission();
-  /** Requests that have not ended, by organisation and by target. */
-  private readonly open = new Map<string, number>();
+  /** Number of open requests by organisation and by target. */
+  private readonly openRequests = new Map<string, number>();
 
-  constructor(private readonly parts: OrganisationLimitsParts) {}
+  constructor(private readonly parts: OrganisationLimitsDeps) {}
 
   /**
-   * Lets a request in, or refuses it at once; what it returns is called at the request's end.
+   * Admits a request or refuses it at once; the caller invokes the returned function when it ends.
    * @example const admitted = limits.admit(request); if (admitted.ok) admitted.val();
    */
   admit(request: GatewayRequest): Result<() => void, Refusal> {
@@ -35,39 +35,39 @@
     const body = parts.body();
     const organisation = body?.organisations.find((o) => o.id === request.organisation?.id);
     if (!body || !organisation) return Ok(() => undefined);
-    const open = this.open.get(organisation.id) ?? 0;
-    if (open >= parts.mostOpen) {
-      const detail = `${open} requests of ${organisation.id} are open at this entry.`;
+    const openCount = this.openRequests.get(organisation.id) ?? 0;
+    if (openCount >= parts.maxOpenRequests) {
+      const detail = `${openCount} requests of organisation ${organisation.id} are open at this entry, its limit.`;
       return Err({ reason: 'streams-exceeded', detail });
     }
     const target = request.route.shares[0]?.service ?? '';
-    const asked = this.describe(request, organisation.id, target, body);
-    parts.metrics.observe('admission_pressure_permille', pressureOf(asked) * 1000);
-    const refused = this.admission.admit(
-      asked,
+    const admissionRequest = this.estimate(request, organisation.id, target, body);
+    parts.metrics.observe('admission_pressure_permille', pressureOf(admissionRequest) * 1000);
+    const refusal = this.admission.admit(
+      admissionRequest,
       organisation,
       body,
       parts.liveEntries(),
       parts.clock.nowMs(),
       parts.clock.wallMs(),
     );
-    if (refused) {
-      const { reason, facts, retryAfterS } = refused;
+    if (refusal) {
+      const { reason, facts, retryAfterS } = refusal;
       return Err({ reason, detail: facts, ...(retryAfterS !== undefined && { retryAfterS }) });
     }
-    for (const name of [organisation.id, target]) this.count(name, 1);
+    for (const name of [organisation.id, target]) this.changeOpenCount(name, 1);
     return Ok(() => {
-      for (const name of [organisation.id, target]) this.count(name, -1);
+      for (const name of [organisation.id, target]) this.changeOpenCount(name, -1);
     });
   }
 
-  private count(name: string, change: 1 | -1): void {
-    const count = (this.open.get(name) ?? 0) + change;
-    if (count > 0) this.open.set(name, count);
-    else this.open.delete(name);
+  private changeOpenCount(name: string, change: 1 | -1): void {
+    const count = (this.openRequests.get(name) ?? 0) + change;
+    if (count > 0) this.openRequests.set(name, count);
+    else this.openRequests.delete(name);
   }
 
-  private describe(
+  private estimate(
     request: GatewayRequest,
     organisation: string,
     target: string,
@@ -75,19 +75,20 @@
   ): AdmissionRequest {
     const model = body.models.find((m) => m.id === target);
     const endpoints = model ?? body.services.find((s) => s.id === target);
-    // An entry's part of the places; what is open beyond them waits for its turn.
-    const places = ((endpoints?.endpoints.length ?? 1) * ENDPOINT_SLOTS) / this.parts.liveEntries();
-    const waiting = Math.max(0, (this.open.get(target) ?? 0) - places) / places;
-    const runMs = (request.tokens ?? 0) * TOKEN_MS;
+    // This entry's share of the target's slots; open requests beyond them are queued.
+    const slots =
+      ((endpoints?.endpoints.length ?? 1) * ASSUMED_ENDPOINT_SLOTS) / this.parts.liveEntries();
+    const queuedPerSlot = Math.max(0, (this.openRequests.get(target) ?? 0) - slots) / slots;
+    const expectedRunMs = (request.tokens ?? 0) * ASSUMED_TOKEN_MS;
     return {
       organisation,
       target,
-      // A call to a plain service counts as one.
+      // A call to a plain service counts as one token.
       tokens: request.tokens ?? 1,
-      predictedMs: runMs * (1 + waiting),
-      waitMs: runMs * waiting,
+      predictedMs: expectedRunMs * (1 + queuedPerSlot),
+      waitMs: expectedRunMs * queuedPerSlot,
       deadlineMs: request.leftMs(),
-      priority: Number(request.req.headers[CALLER_HEADER.priority] ?? PRIORITY.usual),
+      priority: Number(request.req.headers[CALLER_HEADERS.priority] ?? PRIORITY.default),
     };
   }
 }
--- a/src/caller-api/published.ts
+++ b/src/caller-api/published.ts
@@ -1,4 +1,4 @@
-/** The operators' document and the list of instances, in the types that the gateway decides by. */
+/** Converts the configuration document and the instance list to the types of the gateway. */
 import { asId } from '../core/ids/index.js';
 import type { InstanceView } from '../core/membership/index.js';
 import type {
@@ -13,28 +13,28 @@
 } from '../core/published/index.js';
 import type { ConfigurationBody, ConfigurationDocument } from '../generated/configuration.types.js';
 import {
-  ENDPOINT_SLOTS,
-  GAP_MS,
+  ASSUMED_ENDPOINT_SLOTS,
+  MAX_EVENT_GAP_MS,
   MAX_ATTEMPTS,
-  MAX_CONNECTIONS,
+  MAX_ENDPOINT_CONNECTIONS,
   PRIORITY,
-  TARGET_MS,
+  LATENCY_TARGET_MS,
 } from './consts.js';
 
 /**
- * A route of this interface; its requests go to one model or service.
- * @example routeTo('boarding', 'once', 30_000).shares[0]?.service // 'boarding'
+ * A route of the caller API to one model or service.
+ * @example createRoute('boarding', 'once', 30_000).shares[0]?.service // 'boarding'
  */
-export function routeTo(target: string, kind: RouteKind, timeoutMs: number): Route {
+export function createRoute(target: string, kind: RouteKind, timeoutMs: number): Route {
   return {
     id: asId(target),
     host: '',
     pathPrefix: '/',
     kind,
     timeoutMs,
-    targetMs: TARGET_MS,
-    gapMs: kind === 'stream' ? GAP_MS : undefined,
-    priority: PRIORITY.usual,
+    targetMs: LATENCY_TARGET_MS,
+    gapMs: kind === 'stream' ? MAX_EVENT_GAP_MS : undefined,
+    priority: PRIORITY.default,
     shares: [{ service: asId<ServiceId>(target), weight: 1 }],
     maxAttempts: MAX_ATTEMPTS,
     isPublic: false,
@@ -42,20 +42,23 @@
   };
 }
 
-function serviceInfo(id: string): ServiceInfo {
-  return { id: asId(id), maxConnections: MAX_CONNECTIONS, engine: undefined };
+function toServiceInfo(id: string): ServiceInfo {
+  return { id: asId(id), maxConnections: MAX_ENDPOINT_CONNECTIONS, engine: undefined };
 }
 
 /**
- * One document as the gateway needs it; organisations are found by the hash of their key.
- * @example publishedConfig(doc, limits).organisationsByKey?.get(keyHash('secret'))?.id
+ * Converts a configuration document; organisations are looked up by the hash of their API key.
+ * @example toPublishedConfig(doc, limits).organisationsByKey?.get(keyHash('secret'))?.id
  */
-export function publishedConfig(doc: ConfigurationDocument, limits: CallerLimits): PublishedConfig {
+export function toPublishedConfig(
+  doc: ConfigurationDocument,
+  limits: CallerLimits,
+): PublishedConfig {
   const { body } = doc;
-  const targets = [...body.models, ...body.services].map(({ id }) => serviceInfo(id));
+  const targets = [...body.models, ...body.services].map(({ id }) => toServiceInfo(id));
   const organisations = body.organisations.map((o): readonly [string, Organisation] => [
     o.keySha256,
-    { id: asId(o.id), priority: PRIORITY.usual },
+    { id: asId(o.id), priority: PRIORITY.default },
   ]);
   return {
     version: doc.version,
@@ -66,7 +69,7 @@
   };
 }
 
-/** The model or service that names each endpoint. */
+/** Maps each endpoint to the model or service that lists it. */
 function targetsByEndpoint(body: ConfigurationBody): Map<string, string> {
   return new Map(
     [...body.models, ...body.services].flatMap(({ id, endpoints }) =>
@@ -76,10 +79,10 @@
 }
 
 /**
- * The endpoints that the list names and some model or service of the document uses.
- * @example publishedEndpoints(view, doc.body).map((e) => e.address)
+ * The endpoints in the instance list that a model or service of the document uses.
+ * @example toPublishedEndpoints(view, doc.body).map((e) => e.address)
  */
-export function publishedEndpoints(
+export function toPublishedEndpoints(
   view: InstanceView,
   body: ConfigurationBody,
 ): PublishedEndpoint[] {
@@ -93,7 +96,7 @@
       service: asId<ServiceId>(target),
       address: listed.address,
       dataCentre: asId(listed.dataCentre),
-      slots: ENDPOINT_SLOTS,
+      slots: ASSUMED_ENDPOINT_SLOTS,
       isLeaving: listed.state === 'leaving',
       startedAtMs: 0,
     };
--- a/test/caller-api/caller-api.test.ts
+++ b/test/caller-api/caller-api.test.ts
@@ -2,14 +2,14 @@
 import type { IncomingMessage } from 'node:http';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { parseChat } from '../../src/caller-api/chat.js';
-import { readAnswer, readCaller, writeAttempt } from '../../src/caller-api/headers.js';
+import { parseChatRequest } from '../../src/caller-api/chat.js';
+import { readResponseHead, readRequestHead, attemptHeaders } from '../../src/caller-api/headers.js';
 import {
   createCallerApi,
   DecisionRecord,
   OrganisationLimits,
-  publishedConfig,
-  publishedEndpoints,
+  toPublishedConfig,
+  toPublishedEndpoints,
   splitServicePath,
 } from '../../src/caller-api/index.js';
 import { systemClock } from '../../src/core/clock/index.js';
@@ -25,13 +25,13 @@
 const chat = (data: object): Buffer => Buffer.from(JSON.stringify(data));
 const MESSAGES = [{ role: 'user', content: 'x'.repeat(40) }];
 
-function limitsOf(mostOpen = 2): OrganisationLimits {
+function createLimits(mostOpen = 2): OrganisationLimits {
   return new OrganisationLimits({
     clock: systemClock,
     metrics: new Metrics(),
     body: plainBody,
     liveEntries: () => 1,
-    mostOpen,
+    maxOpenRequests: mostOpen,
   });
 }
 
@@ -39,22 +39,22 @@
   body: plainBody,
   nextRequestId: () => 'r1',
   timeoutMs: 30_000,
-  limits: limitsOf(),
+  limits: createLimits(),
 });
-const config = publishedConfig(plainDocument(1), LIMITS);
+const config = toPublishedConfig(plainDocument(1), LIMITS);
 
 function req(method: string, url: string, headers: Record<string, string> = {}): IncomingMessage {
   return { method, url, headers } as IncomingMessage;
 }
 
-const routeOf = (asked: IncomingMessage) =>
-  api.routeOf?.(config, readCaller(asked.headers, 'r1'), asked);
+const routeOf = (incoming: IncomingMessage) =>
+  api.routeOf?.(config, readRequestHead(incoming.headers, 'r1'), incoming);
 
-function request(asked: IncomingMessage, body: Buffer): GatewayRequest {
-  const route = routeOf(asked);
+function request(incoming: IncomingMessage, body: Buffer): GatewayRequest {
+  const route = routeOf(incoming);
   assert.ok(route);
   return {
-    req: asked,
+    req: incoming,
     body,
     route,
     organisation: { id: asId('rwandair'), priority: 5 },
@@ -62,8 +62,10 @@
   } as GatewayRequest;
 }
 
-test('a chat request is read, and what is wrong with it is named', () => {
-  const read = parseChat(chat({ model: 'm', messages: MESSAGES, max_tokens: 6, stream: true }));
+test('a chat request is parsed, and an error names the invalid member', () => {
+  const read = parseChatRequest(
+    chat({ model: 'm', messages: MESSAGES, max_tokens: 6, stream: true }),
+  );
   assert.deepEqual(read.unwrap(), { model: 'm', isStream: true, tokens: 16 });
   for (const [body, detail] of [
     [Buffer.from('{'), /not JSON/],
@@ -72,18 +74,18 @@
     [chat({ model: 'm', messages: [] }), /"messages"/],
     [chat({ model: 'm', messages: MESSAGES, max_tokens: 0 }), /"max_tokens"/],
   ] as const) {
-    const wrong = parseChat(body);
+    const wrong = parseChatRequest(body);
     assert.ok(wrong.err);
     assert.match(wrong.val.detail, detail);
   }
 });
 
-test('any bytes are read or refused, never thrown at', () => {
-  fc.assert(fc.property(fc.uint8Array(), (bytes) => void parseChat(Buffer.from(bytes))));
-  fc.assert(fc.property(fc.json(), (text) => void parseChat(Buffer.from(text))));
+test('parsing arbitrary bytes as a chat request never throws', () => {
+  fc.assert(fc.property(fc.uint8Array(), (bytes) => void parseChatRequest(Buffer.from(bytes))));
+  fc.assert(fc.property(fc.json(), (text) => void parseChatRequest(Buffer.from(text))));
 });
 
-test('a path names its service and what is passed on', () => {
+test('a service path is split into the service id and the forwarded path', () => {
   assert.deepEqual(splitServicePath('/services/boarding/passes/7?x=1'), {
     service: 'boarding',
     rest: '/passes/7?x=1',
@@ -95,7 +97,7 @@
   });
 });
 
-test('routes follow the path, the rules of the service, and the word of the caller', () => {
+test('a route depends on the path, the rules of the service and the repeatable header', () => {
   assert.equal(routeOf(req('GET', '/services/boarding/x'))?.kind, 'repeatable');
   const marked = req('GET', '/services/boarding/x', { 'harrierglade-repeatable': 'no' });
   assert.equal(routeOf(marked)?.kind, 'once');
@@ -104,25 +106,34 @@
   assert.equal(routeOf(req('GET', '/nowhere')), undefined);
 });
 
-test('the body of a chat names the model, and whether its answer is a stream', () => {
-  const asked = req('POST', '/v1/chat/completions');
+test('a chat request is routed by the model and the stream flag in its body', () => {
+  const incoming = req('POST', '/v1/chat/completions');
   const body = { model: 'passenger-summary', messages: MESSAGES };
-  const stream = api.readContent?.(request(asked, chat({ ...body, stream: true })));
+  const stream = api.readContent?.(request(incoming, chat({ ...body, stream: true })));
   assert.equal(stream?.unwrap().route.kind, 'stream');
-  assert.equal(api.readContent?.(request(asked, chat(body)))?.unwrap().route.kind, 'repeatable');
-  const other = api.readContent?.(request(asked, chat({ ...body, model: 'gpt-0' })));
+  assert.equal(api.readContent?.(request(incoming, chat(body)))?.unwrap().route.kind, 'repeatable');
+  const other = api.readContent?.(request(incoming, chat({ ...body, model: 'gpt-0' })));
   assert.ok(other?.err);
   assert.equal(other.val.reason, 'model-unknown');
 });
 
-test('headers are read into what they mean, and written for endpoints without the key', () => {
-  const head = readCaller({ authorization: 'Bearer secret', 'harrierglade-deadline': '900' }, 'r1');
+test('caller headers are parsed, and the API key is not forwarded to endpoints', () => {
+  const head = readRequestHead(
+    { authorization: 'Bearer secret', 'harrierglade-deadline': '900' },
+    'r1',
+  );
   assert.deepEqual([head.deadlineMs, head.key], [900, keyHash('secret')]);
-  assert.match(readCaller({ 'harrierglade-deadline': 'soon' }, 'r1').invalid ?? '', /from 1 to/);
-  assert.match(readCaller({ 'harrierglade-priority': '10' }, 'r1').invalid ?? '', /from 0 to 9/);
-  const [endpoint] = publishedEndpoints(view(), plainBody());
+  assert.match(
+    readRequestHead({ 'harrierglade-deadline': 'soon' }, 'r1').invalid ?? '',
+    /from 1 to/,
+  );
+  assert.match(
+    readRequestHead({ 'harrierglade-priority': '10' }, 'r1').invalid ?? '',
+    /from 0 to 9/,
+  );
+  const [endpoint] = toPublishedEndpoints(view(), plainBody());
   assert.ok(endpoint);
-  const sent = writeAttempt(
+  const sent = attemptHeaders(
     { authorization: 'Bearer secret', cookie: 'c', 'content-type': 'application/json' },
     {
       requestId: 'r1',
@@ -139,8 +150,8 @@
     'content-type': 'application/json',
     'last-event-id': '3',
   });
-  assert.equal(readAnswer(503, { 'x-not-run': '1' }).isNotRun, true);
-  assert.equal(readAnswer(503, {}).isNotRun, false);
+  assert.equal(readResponseHead(503, { 'x-not-run': '1' }).isNotRun, true);
+  assert.equal(readResponseHead(503, {}).isNotRun, false);
 });
 
 function view() {
@@ -156,9 +167,9 @@
   });
 }
 
-test('the document and the list become what the gateway decides by', () => {
+test('the document and the instance list are converted to the types of the gateway', () => {
   assert.equal(config.organisationsByKey?.get(keyHash('secret'))?.id, 'rwandair');
-  const endpoints = publishedEndpoints(view(), plainBody());
+  const endpoints = toPublishedEndpoints(view(), plainBody());
   assert.deepEqual(
     endpoints.map((e) => [e.id, e.service, e.address]),
     [
@@ -169,31 +180,31 @@
   assert.equal(view().agentByEndpoint.get('kgl-a-model-1')?.address, '10.0.0.1:1');
 });
 
-test('an organisation may have so many requests open, and gets its place back', () => {
-  const limits = limitsOf(1);
-  const asked = request(req('GET', '/services/boarding/x'), Buffer.alloc(0));
-  const first = limits.admit(asked);
-  const second = limits.admit(asked);
+test('an organisation at its limit of open requests is refused until one of them ends', () => {
+  const limits = createLimits(1);
+  const gatewayRequest = request(req('GET', '/services/boarding/x'), Buffer.alloc(0));
+  const first = limits.admit(gatewayRequest);
+  const second = limits.admit(gatewayRequest);
   assert.ok(first.ok && second.err);
   assert.equal(second.val.reason, 'streams-exceeded');
   first.val();
-  assert.ok(limits.admit(asked).ok);
+  assert.ok(limits.admit(gatewayRequest).ok);
 });
 
-test('a request that cannot end in time is refused at once', () => {
-  const asked = request(
+test('a request that cannot meet its deadline is refused at once', () => {
+  const gatewayRequest = request(
     req('POST', '/v1/chat/completions'),
     chat({ model: 'passenger-summary', messages: MESSAGES, max_tokens: 4000 }),
   );
-  const content = api.readContent?.(asked).unwrap();
-  const late = limitsOf().admit({ ...asked, ...content, leftMs: () => 50 });
+  const content = api.readContent?.(gatewayRequest).unwrap();
+  const late = createLimits().admit({ ...gatewayRequest, ...content, leftMs: () => 50 });
   assert.ok(late.err);
   assert.equal(late.val.reason, 'deadline-unreachable');
 });
 
-test('ends of requests are kept for a while, by their id', () => {
+test('the ends of requests are recorded by id, and the oldest are evicted', () => {
   const record = new DecisionRecord();
-  const log = record.watch(silentLog);
+  const log = record.recordFrom(silentLog);
   log.info('request.end', { request: 'r1', outcome: 'answered' });
   log.info('other', { request: 'r2' });
   assert.equal(record.find('r1')?.['outcome'], 'answered');
