--- a/test/system/limits.test.ts
+++ b/test/system/limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits that protect an entry from its callers, with real processes. */
+/** Limits that protect an entry from its callers, tested with real processes. */
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { after, before, test } from 'node:test';
@@ -41,7 +41,7 @@
   return askOnce({ kind: 'chat', nonce, organisation, port: entry().ports.callers }, { tokens });
 }
 
-test('an organisation that holds too many requests is refused at once, another is not', async () => {
+test('an organisation with too many open requests is refused at once, another one is not', async () => {
   const held = Array.from({ length: OPEN_AT_ONCE }, (_, i) => stream(`held-${i}`, 'rwandair', 150));
   for (
     let n = 0;
@@ -57,8 +57,8 @@
   assert.equal((await stream('later', 'rwandair', 4)).outcome, 'answered');
 });
 
-test('a body that comes too slowly is refused and runs nothing', async () => {
-  const ran = await cluster.serviceExecutions();
+test('a request whose body arrives too slowly is refused and does not run', async () => {
+  const executedBefore = await cluster.serviceExecutions();
   const socket = connect(entry().ports.callers, '127.0.0.1');
   let answer = '';
   socket.on('data', (text) => (answer += String(text)));
@@ -69,5 +69,5 @@
   assert.match(answer, /^HTTP\/1.1 408 /);
   assert.match(answer, /"reason":"body-late"/);
   assert.match(answer, /"outcome":"not-run"/);
-  assert.deepEqual(await cluster.serviceExecutions(), ran);
+  assert.deepEqual(await cluster.serviceExecutions(), executedBefore);
 });
--- a/test/system/path.test.ts
+++ b/test/system/path.test.ts
@@ -1,4 +1,4 @@
-/** The whole path as separate processes, with the client library that callers already have. */
+/** The request path end to end, with separate processes and the OpenAI client that callers use. */
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { after, before, test } from 'node:test';
@@ -15,7 +15,7 @@
 } from '../../bench/harness/index.js';
 
 let cluster: Cluster;
-let base: string;
+let baseUrl: string;
 let client: OpenAI;
 
 before(async () => {
@@ -29,8 +29,8 @@
       { id: 'akagera', weight: 1, tokensPerSecond: 100_000 },
     ],
   });
-  base = `http://127.0.0.1:${cluster.entries[0]?.ports.callers}`;
-  client = new OpenAI({ baseURL: `${base}/v1`, apiKey: testKey('rwandair'), maxRetries: 0 });
+  baseUrl = `http://127.0.0.1:${cluster.entries[0]?.ports.callers}`;
+  client = new OpenAI({ baseURL: `${baseUrl}/v1`, apiKey: testKey('rwandair'), maxRetries: 0 });
 });
 
 after(() => cluster.stop());
@@ -43,12 +43,12 @@
   readonly remedy: string;
 }
 
-async function problem(
+async function sendExpectingProblem(
   path: string,
   init: { method?: 'POST' | 'GET'; headers?: Record<string, string>; body?: string },
 ): Promise<{ status: number; body: ProblemBody; type: string }> {
   const headers = { authorization: `Bearer ${testKey('rwandair')}`, ...init.headers };
-  const res = await request(`${base}${path}`, {
+  const res = await request(`${baseUrl}${path}`, {
     method: init.method ?? 'POST',
     headers,
     body: init.body ?? null,
@@ -57,12 +57,12 @@
   return { status: res.statusCode, body: (await res.body.json()) as ProblemBody, type };
 }
 
-test('the openai client gets a whole answer', async () => {
+test('the OpenAI client receives a complete response', async () => {
   const answer = await client.chat.completions.create({ model: MODEL, messages, max_tokens: 5 });
   assert.equal(answer.choices[0]?.message.content, 'abc:0 abc:1 abc:2 abc:3 abc:4 ');
 });
 
-test('the openai client gets a streamed answer', async () => {
+test('the OpenAI client receives a complete streamed response', async () => {
   const stream = await client.chat.completions.create({
     model: MODEL,
     messages,
@@ -74,7 +74,7 @@
   assert.equal(text, 'abc:0 abc:1 abc:2 abc:3 ');
 });
 
-test('the openai client lists models and sees a refusal as its own error type', async () => {
+test('the OpenAI client lists models and maps a refusal to its own error type', async () => {
   const models = await client.models.list();
   assert.deepEqual(
     models.data.map((m) => m.id),
@@ -86,16 +86,16 @@
   );
 });
 
-test('no key and a wrong key are refused and run nothing', async () => {
+test('requests with a missing or unknown key are refused and do not run', async () => {
   const before = (await cluster.engineExecutions()).length;
-  const none = await problem('/v1/chat/completions', {
+  const none = await sendExpectingProblem('/v1/chat/completions', {
     headers: { authorization: '' },
     body: '{}',
   });
   assert.equal(none.status, 401);
   assert.equal(none.body.reason, 'key-unknown');
   assert.equal(none.type, 'application/problem+json');
-  const wrong = await problem('/v1/chat/completions', {
+  const wrong = await sendExpectingProblem('/v1/chat/completions', {
     headers: { authorization: 'Bearer nobody' },
     body: '{}',
   });
@@ -104,7 +104,7 @@
   assert.equal((await cluster.engineExecutions()).length, before);
 });
 
-test('bad input is refused with its reason and a remedy', async () => {
+test('an invalid request is refused with a reason and a remedy', async () => {
   const cases: [string, object | string, Record<string, string>, number, string][] = [
     ['/v1/chat/completions', '{"model":', {}, 400, 'body-invalid'],
     ['/v1/chat/completions', { model: MODEL, messages: [] }, {}, 400, 'body-invalid'],
@@ -137,22 +137,24 @@
   ];
   for (const [path, body, headers, status, reason] of cases) {
     const text = typeof body === 'string' ? body : JSON.stringify(body);
-    const seen = await problem(path, { headers, body: text });
+    const response = await sendExpectingProblem(path, { headers, body: text });
     assert.deepEqual(
-      [seen.status, seen.body.reason, seen.body.outcome],
+      [response.status, response.body.reason, response.body.outcome],
       [status, reason, 'not-run'],
       `${path} ${reason}`,
     );
-    assert.ok(seen.body.remedy.length > 10);
+    assert.ok(response.body.remedy.length > 10);
   }
 });
 
-test('headers beyond the limit end in 431 and a body cut short runs nothing', async () => {
-  const large = await request(`${base}/v1/models`, { headers: { 'x-large': 'x'.repeat(20_000) } });
+test('too large headers get a 431, and a request with a truncated body does not run', async () => {
+  const large = await request(`${baseUrl}/v1/models`, {
+    headers: { 'x-large': 'x'.repeat(20_000) },
+  });
   await large.body.dump();
   assert.equal(large.statusCode, 431);
   const ran = (await cluster.serviceExecutions()).length;
-  const socket = connect(Number(new URL(base).port), '127.0.0.1');
+  const socket = connect(Number(new URL(baseUrl).port), '127.0.0.1');
   await new Promise((resolve) => socket.once('connect', resolve));
   socket.write(
     `POST /services/${SERVICE}/bags HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${testKey('rwandair')}\r\ncontent-length: 100\r\n\r\n{"nonce":`,
@@ -163,8 +165,8 @@
   assert.equal((await cluster.serviceExecutions()).length, ran);
 });
 
-test('a caller who goes away has its work on the engine cancelled', async () => {
-  const leaving = new AbortController();
+test('a request on the engine is cancelled when its caller disconnects', async () => {
+  const disconnect = new AbortController();
   const stream = await client.chat.completions.create(
     {
       model: MODEL,
@@ -172,10 +174,10 @@
       max_tokens: 2000,
       stream: true,
     },
-    { signal: leaving.signal },
+    { signal: disconnect.signal },
   );
   for await (const chunk of stream) if (chunk.choices.length > 0) break;
-  leaving.abort();
+  disconnect.abort();
   let run;
   for (let n = 0; n < 100 && run?.end !== 'cancelled'; n += 1) {
     await new Promise((resolve) => setTimeout(resolve, 50));
@@ -184,14 +186,14 @@
   assert.equal(run?.end, 'cancelled');
   const entry = cluster.entries[0];
   assert.ok(entry);
-  const gone = Object.entries(await cluster.counters(entry)).find(([name]) =>
+  const disconnected = Object.entries(await cluster.counters(entry)).find(([name]) =>
     /^requests_total.*end="gone"/.test(name),
   );
-  assert.equal(gone?.[1], 1);
+  assert.equal(disconnected?.[1], 1);
 });
 
-test('a call that may not be repeated reaches its service once, with the id that the caller is told', async () => {
-  const port = Number(new URL(base).port);
+test('a call that must not be repeated reaches its service once, with a request id of the entry', async () => {
+  const port = Number(new URL(baseUrl).port);
   const ask = await askOnce({ kind: 'once', nonce: 'tag-7', organisation: 'rwandair', port });
   assert.deepEqual([ask.outcome, ask.whole], ['answered', true]);
   const runs = (await cluster.serviceExecutions()).filter((e) => e.nonce === 'tag-7');
@@ -201,16 +203,16 @@
   assert.match(runs[0]?.requestId ?? '', /^kgl-a-entry-1\/.*\/r\d+$/);
 });
 
-test('a service that is gone answers nobody: refused as not run where nothing was sent', async () => {
+test('a call to a stopped service is refused as not run, since nothing was sent', async () => {
   const [service] = cluster.services;
   assert.ok(service);
   await endProcess(service.process);
-  const port = Number(new URL(base).port);
+  const port = Number(new URL(baseUrl).port);
   const ask = await askOnce({ kind: 'once', nonce: 'tag-8', organisation: 'rwandair', port });
   assert.equal(ask.outcome, 'not-run');
 });
 
-test('operators see health, counters by reason, histograms, status and past decisions', async () => {
+test('operators can read readiness, counters by reason, histograms and past decisions', async () => {
   const operators = `http://127.0.0.1:${cluster.entries[0]?.ports.operators}`;
   const metrics = await (await request(`${operators}/metrics`)).body.text();
   assert.match(
