--- a/src/caller-api/index.ts
+++ b/src/caller-api/index.ts
@@ -1,4 +1,4 @@
 export * from './decisions.js';
-export * from './interface.js';
+export * from './caller-api.js';
 export * from './organisation-limits.js';
 export * from './published.js';
--- a/src/daemon/context.ts
+++ b/src/daemon/context.ts
@@ -9,7 +9,7 @@
 import type { FullSettings } from '../core/settings/index.js';
 import { CONNECT_MS, createPeers } from '../rpc/index.js';
 import { KeptConnections, type DaemonContext } from '../runtime/index.js';
-import type { SocketByteCounter } from './traffic.js';
+import type { SocketByteCounter } from './socket-bytes.js';
 
 /** How long an idle connection to another daemon stays open, ms. */
 const KEEP_ALIVE_TIMEOUT_MS = 30_000;
--- a/src/daemon/start.ts
+++ b/src/daemon/start.ts
@@ -12,7 +12,7 @@
 import { startEntry, type Entry } from './entry.js';
 import { createOperatorServer } from './operators.js';
 import { createPlatformClient } from './platform-client.js';
-import { createSocketByteCounter } from './traffic.js';
+import { createSocketByteCounter } from './socket-bytes.js';
 
 /** Ports that the daemon listens on. */
 export interface DaemonPorts {
--- a/src/gateway/endpoints.ts
+++ b/src/gateway/endpoints.ts
@@ -11,7 +11,7 @@
   ServiceId,
 } from '../core/published/index.js';
 import { EndpointHealth } from '../core/routing/index.js';
-import { FreshPool } from '../runtime/fresh-pool.js';
+import { FreshPool } from '../runtime/replaceable-pool.js';
 import { endpointConnector } from './connect.js';
 import type { EngineSight } from './group-sight.js';
 import { CONNECTION_SHARERS, IDLE_CONNECTION_MS, MAX_CONNECTIONS } from './consts.js';
--- a/src/gateway/process.ts
+++ b/src/gateway/process.ts
@@ -21,7 +21,7 @@
 import type { DaemonCalls } from '../rpc/router.js';
 import { serveRpc } from '../rpc/serve.js';
 import { noteStep } from '../runtime/clock-steps.js';
-import { KeptConnections } from '../runtime/kept-connections.js';
+import { KeptConnections } from '../runtime/connection-pools.js';
 import { listen } from '../runtime/listen.js';
 import { relayPlace } from '../runtime/relays.js';
 import { watchSettings } from '../runtime/settings-watch.js';
--- a/src/group/agent-process.ts
+++ b/src/group/agent-process.ts
@@ -16,7 +16,7 @@
 import { errorText, type HarriergladeError } from '../core/errors/index.js';
 import type { Result } from '../core/result/index.js';
 import { noteStep } from '../runtime/clock-steps.js';
-import { KeptConnections } from '../runtime/kept-connections.js';
+import { KeptConnections } from '../runtime/connection-pools.js';
 import { listen } from '../runtime/listen.js';
 import { watchSettings } from '../runtime/settings-watch.js';
 import type { GroupDigest } from '../generated/messages.types.js';
--- a/src/rpc/peers.ts
+++ b/src/rpc/peers.ts
@@ -3,7 +3,7 @@
 import type { Dispatcher } from 'undici';
 import { isGivenUp } from '../core/errors/index.js';
 import type { AskRelay } from '../core/published/index.js';
-import type { KeptConnections } from '../runtime/kept-connections.js';
+import type { KeptConnections } from '../runtime/connection-pools.js';
 import { RPC_PATH } from './consts.js';
 import type { DaemonRouter } from './router.js';
 
--- a/src/runtime/kept-connections.ts
+++ b/src/runtime/connection-pools.ts
@@ -1,7 +1,7 @@
 /** Keep-alive connections to many origins, such as other daemons and the platform. */
 import type { Dispatcher, Pool } from 'undici';
 import { isTimeout } from '../core/errors/index.js';
-import { FreshPool } from './fresh-pool.js';
+import { FreshPool } from './replaceable-pool.js';
 
 /** Origins with a pool at once: more than any fleet has daemons. */
 const MAX_ORIGINS = 4096;
--- a/src/runtime/context.ts
+++ b/src/runtime/context.ts
@@ -1,5 +1,5 @@
 /** The context that the components of one daemon share. */
-import type { KeptConnections } from './kept-connections.js';
+import type { KeptConnections } from './connection-pools.js';
 import type { Clock, pauseDetector, Random } from '../core/clock/index.js';
 import type { FeedStore } from '../core/config-feed/index.js';
 import type { Incarnation, InstanceId } from '../core/ids/index.js';
--- a/src/runtime/index.ts
+++ b/src/runtime/index.ts
@@ -1,4 +1,4 @@
 export * from './context.js';
-export * from './fresh-pool.js';
-export * from './kept-connections.js';
+export * from './replaceable-pool.js';
+export * from './connection-pools.js';
 export * from './read-body.js';
--- a/test/rpc/peers.test.ts
+++ b/test/rpc/peers.test.ts
@@ -12,7 +12,7 @@
 import { LoopbackProxy } from '../../bench/soak/proxy.js';
 import { createPeers } from '../../src/rpc/peers.js';
 import { serveRpc } from '../../src/rpc/serve.js';
-import { KeptConnections } from '../../src/runtime/kept-connections.js';
+import { KeptConnections } from '../../src/runtime/connection-pools.js';
 
 const HELLO = { instance: 'entry-1', incarnation: 'l-1', config: 1, list: 1, leaving: false };
 /** An address that no other test listens on. */
--- a/test/runtime/kept-connections.test.ts
+++ b/test/runtime/connection-pools.test.ts
@@ -12,7 +12,7 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import type { Dispatcher } from 'undici';
 import { isTimeout } from '../../src/core/errors/index.js';
-import { KeptConnections } from '../../src/runtime/kept-connections.js';
+import { KeptConnections } from '../../src/runtime/connection-pools.js';
 
 /** Timeout of a call, ms. */
 const CALL_TIMEOUT_MS = 150;
--- a/test/soak/silent-fleet.ts
+++ b/test/soak/silent-fleet.ts
@@ -21,7 +21,7 @@
 } from '../../src/core/published/index.js';
 import { askRelay, createPeers } from '../../src/rpc/peers.js';
 import { serveRpc } from '../../src/rpc/serve.js';
-import { KeptConnections } from '../../src/runtime/kept-connections.js';
+import { KeptConnections } from '../../src/runtime/connection-pools.js';
 import { until } from '../fixtures/until.js';
 
 /** After its connections fell silent a daemon is bound again by what is published from so long on, ms. */
