--- a/src/daemon/start.ts
+++ b/src/daemon/start.ts
@@ -33,7 +33,7 @@
 
 const DRAIN_POLL_INTERVAL_MS = 25;
 /** Largest message between daemons, bytes: fits a document with thousands of organisations. */
-const MAX_RPC_BYTES = 4 * 1024 * 1024;
+const MAX_RPC_MESSAGE_BYTES = 4 * 1024 * 1024;
 /** Longer than the clients' own timeout, so that a client never writes to a connection just closed. */
 const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
@@ -55,7 +55,7 @@
 function createDaemonServer(ctx: DaemonContext, rank: Rank | undefined): Server {
   const handlers = { ...commonHandlers(ctx), ...(rank && { rank: rank.serve }) };
   return serveRpc(handlers, {
-    maxBytes: MAX_RPC_BYTES,
+    maxBytes: MAX_RPC_MESSAGE_BYTES,
     keepAliveMs: KEEP_ALIVE_TIMEOUT_MS,
     onError: (path, code) => ctx.metrics.count('rpc_errors_total', { path, code }),
   });
@@ -82,14 +82,14 @@
       store: ctx.store,
       view: ctx.view,
       platform: createPlatformClient(ctx.connections, settings.platform.url),
-      watchPeer: async (address, held, waitMs, signal) => {
+      watchPeer: async (address, heldVersions, waitMs, signal) => {
         const signalWithTimeout = AbortSignal.any([
           signal,
           AbortSignal.timeout(waitMs + CONNECT_MS * 2),
         ]);
         return (await ctx.peers
           .at(address)
-          .feedWatch.query({ ...held, waitMs }, { signal: signalWithTimeout })) as
+          .feedWatch.query({ ...heldVersions, waitMs }, { signal: signalWithTimeout })) as
           FeedUpdate | undefined;
       },
       clock: ctx.clock,
@@ -128,19 +128,19 @@
   const entry: Entry | undefined = settings.role === 'entry' ? startEntry(ctx) : undefined;
   const running = (): number => entry?.gateway.running() ?? 0;
 
-  const daemons = createDaemonServer(ctx, rank);
-  socketBytes.trackServer(daemons);
+  const daemonServer = createDaemonServer(ctx, rank);
+  socketBytes.trackServer(daemonServer);
   ctx.metrics.gauge('socket_bytes', socketBytes.total);
   ctx.metrics.gauge('cpu_us', () => processCpuUs());
   ctx.metrics.gauge('running', running);
-  const operators = createOperatorServer({
+  const operatorServer = createOperatorServer({
     ctx,
     running,
     decisions: entry?.decisions,
     group: rank?.status,
   });
-  await listen(daemons, settings.listen.daemons);
-  await listen(operators, settings.listen.operators);
+  await listen(daemonServer, settings.listen.daemons);
+  await listen(operatorServer, settings.listen.operators);
   const feed = startFeed(ctx);
   await feed.started;
   // Listens for callers last: without the published state every request would be refused.
@@ -148,8 +148,8 @@
   const rankTask = rank?.run(abortController.signal);
   const ports: DaemonPorts = {
     callers: entry && settings.listen.callers && portOf(entry.gateway.server),
-    daemons: portOf(daemons),
-    operators: portOf(operators),
+    daemons: portOf(daemonServer),
+    operators: portOf(operatorServer),
   };
   ctx.log.info('daemon.started', {
     incarnation: ctx.incarnation,
@@ -161,7 +161,7 @@
     abortController.abort();
     ctx.pause.stop();
     entry?.close();
-    for (const server of [entry?.gateway.server, daemons, operators]) {
+    for (const server of [entry?.gateway.server, daemonServer, operatorServer]) {
       server?.close();
       server?.closeAllConnections();
     }
--- a/src/rpc/peers.ts
+++ b/src/rpc/peers.ts
@@ -20,8 +20,8 @@
  * @example new RelayedSource({ ...deps, ask: requestFromRelay(peers) })
  */
 export function askRelay(peers: Peers): AskRelay {
-  return (address, ask, withinMs) =>
-    peers.at(address).published.query(ask, { signal: AbortSignal.timeout(withinMs) });
+  return (address, request, timeoutMs) =>
+    peers.at(address).published.query(request, { signal: AbortSignal.timeout(timeoutMs) });
 }
 
 /** Clients cached at once: more than any fleet has daemons. */
