--- a/test/platform/boot-file.test.ts
+++ b/test/platform/boot-file.test.ts
@@ -5,7 +5,7 @@
 
 const decode = (text: string) => decodeBootFile(text, 'boot.toml');
 
-test('a boot file becomes settings of our own; what is unknown is ignored', () => {
+test('a boot file is decoded into settings; unknown fields are ignored', () => {
   const read = decode(`${bootText()}\n[later]\nwhat = "new"\n`);
   assert.ok(read.ok, String(read.val));
   const settings = read.unwrap();
@@ -20,60 +20,71 @@
   assert.deepEqual([settings.relays, settings.control], [['127.0.0.1:8229'], undefined]);
   const control = bootText().replace('[listen]', '[listen]\ncontrol = "127.0.0.1:8229"');
   assert.deepEqual(decode(control).unwrap().control, { host: '127.0.0.1', port: 8229 });
-  const alone = bootText().replace(/^seed-nodes.*$/m, '');
-  assert.deepEqual(decode(alone).unwrap().relays, []);
+  const withoutSeedNodes = bootText().replace(/^seed-nodes.*$/m, '');
+  assert.deepEqual(decode(withoutSeedNodes).unwrap().relays, []);
 });
 
-test('keys count without an end only where the file says that they need not fail closed', () => {
+test('keys are accepted without a time limit only if fail-closed is false', () => {
   const keyProofMs = (text: string): number => decode(text).unwrap().gateway.keyProofMs;
   assert.equal(keyProofMs(bootText({ 'fail-closed': 'false' })), Number.POSITIVE_INFINITY);
   assert.equal(keyProofMs(bootText().replace(/^fail-closed.*$/m, '')), 5000);
 });
 
-const broken: readonly (readonly [string, string, RegExp])[] = [
-  ['no TOML', 'a = = 1', /boot\.toml: .*/],
-  ['no name', bootText({ 'node-name': '""' }), /node-name: value "".* write a non-empty text/],
+const INVALID_FILES: readonly (readonly [string, string, RegExp])[] = [
+  ['invalid TOML', 'a = = 1', /boot\.toml: .*/],
+  [
+    'an empty name',
+    bootText({ 'node-name': '""' }),
+    /node-name: value "".* write a non-empty string/,
+  ],
   ['an address without port', bootText({ front: '"10.1.0.40"' }), /listen\.front: .*IP:PORT/],
   ['a port out of range', bootText({ front: '"10.1.0.40:99999"' }), /listen\.front: .*IP:PORT/],
-  ['a text for a number', bootText({ 'revoke-ms': '"soon"' }), /bounds\.revoke-ms: value "soon"/],
+  ['a string for a number', bootText({ 'revoke-ms': '"soon"' }), /bounds\.revoke-ms: value "soon"/],
   ['an absurd duration', bootText({ 'revoke-ms': '1e300' }), /bounds\.revoke-ms: .* to 3600000/],
   ['a negative duration', bootText({ 'grace-s': '-1' }), /bounds\.grace-s: value -1/],
   [
-    'a text for a choice',
+    'a string for a boolean',
     bootText({ 'fail-closed': '"no"' }),
     /bounds\.fail-closed: value "no"; write true or false/,
   ],
   ['NaN', bootText({ 'revoke-ms': 'nan' }), /bounds\.revoke-ms: value NaN/],
   [
-    'a table that is none',
+    'a number for a table',
     bootText().replace('[listen]', '[other]').replace(/^/, 'listen = 3\n'),
-    /listen: a table is needed/,
+    /listen: expected a table; write it as \[listen\]/,
   ],
   [
-    'relays that are no addresses',
+    'a seed node that is not an address',
     bootText({ 'seed-nodes': '["front-a-1"]' }),
     /seed-nodes: value \["front-a-1"\]; write a list of IP:PORT/,
   ],
-  ['one relay alone', bootText({ 'seed-nodes': '"127.0.0.1:8229"' }), /seed-nodes: .* a list/],
   [
-    'no port range',
+    'a string for the list of seed nodes',
+    bootText({ 'seed-nodes': '"127.0.0.1:8229"' }),
+    /seed-nodes: .* a list/,
+  ],
+  [
+    'a string for the port range',
     bootText({ 'internal-port-range': '"7340"' }),
     /internal-port-range: .*FIRST PORT/,
   ],
 ];
 
-for (const [what, text, message] of broken) {
-  test(`a boot file with ${what} is refused in one line that names the field and the remedy`, () => {
+for (const [description, text, message] of INVALID_FILES) {
+  test(`a boot file with ${description} is refused with one line that names the field and the remedy`, () => {
     const read = decode(text);
     assert.ok(read.err);
-    const said = (read.val as Error).message;
-    assert.match(said, message);
-    assert.ok(!said.includes('\n'));
+    const reason = (read.val as Error).message;
+    assert.match(reason, message);
+    assert.ok(!reason.includes('\n'));
   });
 }
 
-test('a missing variable and a missing file are named', () => {
-  assert.match((readBootFile({}).val as Error).message, /HARRIERGLADE_BOOT names no boot file/);
+test('an unset variable and a missing file are reported by name', () => {
+  assert.match(
+    (readBootFile({}).val as Error).message,
+    /HARRIERGLADE_BOOT is unset or empty; set it to the path of the boot file/,
+  );
   const read = readBootFile({ HARRIERGLADE_BOOT: '/nowhere/boot.toml' });
   assert.match((read.val as Error).message, /\/nowhere\/boot\.toml: ENOENT/);
 });
--- a/test/platform/boot-text.ts
+++ b/test/platform/boot-text.ts
@@ -1,6 +1,6 @@
-/** A boot file of the platform, with single fields replaced. */
+/** Writes boot files of the platform for tests. */
 
-const FIELDS: Readonly<Record<string, string>> = {
+const DEFAULT_FIELDS: Readonly<Record<string, string>> = {
   'node-name': '"front-a-1"',
   ip: '"127.0.0.1"',
   zone: '"a"',
@@ -19,9 +19,9 @@
   address: '"127.0.0.1:8223"',
 };
 
-const TOP = ['node-name', 'ip', 'zone', 'internal-port-range', 'seed-nodes', 'app'];
-const LISTEN = ['front', 'ready'];
-const BOUNDS = [
+const TOP_LEVEL_FIELDS = ['node-name', 'ip', 'zone', 'internal-port-range', 'seed-nodes', 'app'];
+const LISTEN_FIELDS = ['front', 'ready'];
+const BOUNDS_FIELDS = [
   'revoke-ms',
   'fail-closed',
   'config-apply-ms',
@@ -33,21 +33,22 @@
 ];
 
 /**
- * The text of a boot file; values are TOML.
+ * The text of a valid boot file. Values of `overrides` are TOML; a field without a default, such as
+ * `app`, is left out unless it is given.
  * @example bootText({ zone: '"b"' })
  */
-export function bootText(change: Readonly<Record<string, string>> = {}): string {
-  const all = { ...FIELDS, ...change };
-  const lines = (names: readonly string[]): string[] =>
-    names.filter((name) => all[name] !== undefined).map((name) => `${name} = ${all[name]}`);
+export function bootText(overrides: Readonly<Record<string, string>> = {}): string {
+  const fields = { ...DEFAULT_FIELDS, ...overrides };
+  const formatFields = (names: readonly string[]): string[] =>
+    names.filter((name) => fields[name] !== undefined).map((name) => `${name} = ${fields[name]}`);
   return [
-    ...lines(TOP),
+    ...formatFields(TOP_LEVEL_FIELDS),
     '[listen]',
-    ...lines(LISTEN),
+    ...formatFields(LISTEN_FIELDS),
     '[bounds]',
-    ...lines(BOUNDS),
+    ...formatFields(BOUNDS_FIELDS),
     '[platform]',
-    ...lines(['address']),
+    ...formatFields(['address']),
     '',
   ].join('\n');
 }
--- a/test/platform/process.test.ts
+++ b/test/platform/process.test.ts
@@ -1,4 +1,4 @@
-/** The platform's programs as processes, before stand-ins of the store and of an endpoint. */
+/** Runs entry and agent as separate processes, with a fake store and a fake endpoint. */
 import assert from 'node:assert/strict';
 import { execFileSync, spawn, type ChildProcess } from 'node:child_process';
 import {
@@ -41,17 +41,17 @@
 };
 
 /**
- * A loopback address of this run's own: another test file must neither take a port that is asked for here nor
- * be reached where nothing is meant to answer.
+ * A loopback address for this run only, so that other test files can neither occupy its ports nor
+ * answer on the unused ones.
  */
 const OWN_IP = `127.${1 + (process.pid % 200)}.0.1`;
 const FRONT_PORT = 8227;
 const READY_PORT = 8220;
 const METRICS_PORT = 9464;
-/** Ports where nothing listens. */
-const AWAY = { app: 8228, store: 8223 };
+/** Ports on which nothing listens. */
+const UNUSED_PORT = { app: 8228, store: 8223 };
 
-interface Program {
+interface RunningProgram {
   readonly child: ChildProcess;
   readonly boot: string;
   readonly output: () => string;
@@ -62,7 +62,7 @@
   role: string,
   boot: Record<string, string>,
   nodeArgs: readonly string[] = [],
-): Program {
+): RunningProgram {
   const dir = mkdtempSync(join(tmpdir(), 'harrierglade-'));
   const path = join(dir, 'boot.toml');
   writeFileSync(path, bootText({ ip: `"${OWN_IP}"`, ...boot }));
@@ -81,12 +81,16 @@
   return { child, boot: path, output: () => output, ended };
 }
 
-interface Answer {
+interface ReceivedResponse {
   readonly status: number;
   readonly body: string;
 }
 
-function ask(port: number, path: string, headers: Record<string, string> = {}): Promise<Answer> {
+function sendRequest(
+  port: number,
+  path: string,
+  headers: Record<string, string> = {},
+): Promise<ReceivedResponse> {
   return new Promise((resolve) => {
     const req = http.get({ host: OWN_IP, port, path, headers, agent: false }, (res) => {
       let body = '';
@@ -98,21 +102,21 @@
   });
 }
 
-const asking = (id: string): Record<string, string> => ({
+const callerHeaders = (id: string): Record<string, string> => ({
   host: 'a.example',
   'x-request-id': id,
   authorization: 'Bearer k-1',
 });
 
-test('an entry becomes ready, serves, keeps running through SIGHUP, and finishes before it stops', async () => {
+test('an entry becomes ready, serves, survives SIGHUP, and completes in-flight requests on SIGTERM', async () => {
   const store = await startStore();
-  const raw = await startRawEndpoint((req) =>
+  const endpoint = await startRawEndpoint((req) =>
     setTimeout(() => req.socket.write(okAnswer(req, 'fine')), 400),
   );
   store.put('op/config', CONFIG);
   store.put('servers/i-1', {
     service: 's-1',
-    address: raw.address,
+    address: endpoint.address,
     zone: 'a',
     slots: 4,
     state: 'ready',
@@ -124,66 +128,77 @@
   };
   const entry = startProgram('entry', fields);
   const isReady = async (): Promise<boolean> =>
-    (await ask(READY_PORT, '/harrierglade/readiness')).status === 200;
+    (await sendRequest(READY_PORT, '/harrierglade/readiness')).status === 200;
   try {
     await until('ready', isReady);
-    assert.equal((await ask(FRONT_PORT, '/x/1', asking('q-1'))).body, 'fine');
-    assert.match((await ask(METRICS_PORT, '/metrics')).body, /harrierglade_requests_total\{.*\} 1/);
+    assert.equal((await sendRequest(FRONT_PORT, '/x/1', callerHeaders('q-1'))).body, 'fine');
+    assert.match(
+      (await sendRequest(METRICS_PORT, '/metrics')).body,
+      /harrierglade_requests_total\{.*\} 1/,
+    );
 
     entry.child.kill('SIGHUP');
-    await until('a line on the settings', () => entry.output().includes('event=settings.reread'));
+    await until('the log line of the re-read settings', () =>
+      entry.output().includes('event=settings.reread'),
+    );
     writeFileSync(entry.boot, 'broken = = 1');
     entry.child.kill('SIGHUP');
-    await until('a line on settings kept', () => entry.output().includes('event=settings.kept'));
+    await until('the log line of the kept settings', () =>
+      entry.output().includes('event=settings.kept'),
+    );
     assert.ok(await isReady());
 
-    const running = ask(FRONT_PORT, '/x/2', asking('q-2'));
-    await until('the request at the endpoint', () => raw.requests.length === 2);
+    const inFlight = sendRequest(FRONT_PORT, '/x/2', callerHeaders('q-2'));
+    await until('the request at the endpoint', () => endpoint.requests.length === 2);
     entry.child.kill('SIGTERM');
     await until('no longer ready', async () => !(await isReady()));
-    assert.equal((await running).body, 'fine');
+    assert.equal((await inFlight).body, 'fine');
     assert.equal(await entry.ended, 0);
     assert.match(entry.output(), /event=process\.stopped .*cut=0/);
     assert.match(entry.output(), /event=request\.end .*request=q-2 .*outcome=answered/);
   } finally {
     entry.child.kill('SIGKILL');
-    raw.close();
+    endpoint.close();
     store.close();
   }
 });
 
-/** Engine and store of an instance that reaches neither. */
-const ALL_AWAY = {
+/** Addresses of an instance whose engine and store are unreachable. */
+const UNREACHABLE = {
   front: `"${OWN_IP}:${FRONT_PORT}"`,
   ready: `"${OWN_IP}:${READY_PORT}"`,
-  app: `"${OWN_IP}:${AWAY.app}"`,
-  address: `"${OWN_IP}:${AWAY.store}"`,
+  app: `"${OWN_IP}:${UNUSED_PORT.app}"`,
+  address: `"${OWN_IP}:${UNUSED_PORT.store}"`,
 };
 
-/** Prints a line when nothing listens for SIGTERM any more, loaded before the program. */
-const SAY_WHEN_DEAF = `data:text/javascript,process.on('removeListener', (event) => {
-  if (event === 'SIGTERM' && process.listenerCount(event) === 0) console.log('deaf');
+/** Preloaded module that prints a line when the last SIGTERM handler is removed. */
+const REPORT_MISSING_HANDLER = `data:text/javascript,process.on('removeListener', (event) => {
+  if (event === 'SIGTERM' && process.listenerCount(event) === 0) console.log('unhandled');
 })`;
 
 for (const role of ['entry', 'agent'])
-  test(`${role}: there is no moment at which it does not listen for a stop`, async () => {
-    const program = startProgram(role, ALL_AWAY, ['--import', SAY_WHEN_DEAF]);
+  test(`${role}: a handler for SIGTERM is installed at any time during startup`, async () => {
+    const program = startProgram(role, UNREACHABLE, ['--import', REPORT_MISSING_HANDLER]);
     try {
       await until('started', () => program.output().includes('event=process.started'));
-      assert.doesNotMatch(program.output(), /^deaf$/m);
+      assert.doesNotMatch(program.output(), /^unhandled$/m);
     } finally {
       program.child.kill('SIGKILL');
       await program.ended;
     }
   });
 
-test('an agent keeps running through SIGHUP while its engine and the store are away', async () => {
-  const agent = startProgram('agent', ALL_AWAY);
+test('an agent survives SIGHUP while its engine and the store are unreachable', async () => {
+  const agent = startProgram('agent', UNREACHABLE);
   try {
     await until('started', () => agent.output().includes('event=process.started'));
     agent.child.kill('SIGHUP');
-    await until('a line on the settings', () => agent.output().includes('event=settings.reread'));
-    await until('a line on the store', () => agent.output().includes('event=published.lost'));
+    await until('the log line of the re-read settings', () =>
+      agent.output().includes('event=settings.reread'),
+    );
+    await until('the log line of the unreachable store', () =>
+      agent.output().includes('event=published.lost'),
+    );
     agent.child.kill('SIGTERM');
     assert.equal(await agent.ended, 0);
   } finally {
@@ -191,7 +206,7 @@
   }
 });
 
-/** A program that waits for its boot file: a pipe that nobody has written to. */
+/** Starts a program that blocks on reading its boot file, a named pipe without a writer. */
 function startLoading(role: string): { child: ChildProcess; boot: string; dir: string } {
   const dir = mkdtempSync(join(tmpdir(), 'harrierglade-'));
   const boot = join(dir, 'boot.toml');
@@ -203,15 +218,15 @@
   return { child, boot, dir };
 }
 
-/** Writes into a pipe, whether somebody reads it by now or not. */
-function fill(pipe: string, text: string): void {
+/** Writes to a named pipe without waiting for a reader. */
+function writeToPipe(pipe: string, text: string): void {
   const fd = openSync(pipe, constants.O_RDWR | constants.O_NONBLOCK);
   writeSync(fd, text);
   closeSync(fd);
 }
 
 for (const role of ['entry', 'agent'])
-  test(`${role}: settings that change while it loads do not end it, and a stop ends it well`, async () => {
+  test(`${role}: while loading, SIGHUP is ignored and SIGTERM exits with code 0`, async () => {
     const { child, boot, dir } = startLoading(role);
     const ended = new Promise<unknown>((resolve) =>
       child.on('exit', (code, signal) => resolve(code ?? signal)),
@@ -222,7 +237,7 @@
       child.kill('SIGTERM');
       await wait(100);
       assert.equal(child.signalCode, null);
-      fill(boot, bootText({ ip: `"${OWN_IP}"` }));
+      writeToPipe(boot, bootText({ ip: `"${OWN_IP}"` }));
       assert.equal(await ended, 0);
     } finally {
       child.kill('SIGKILL');
@@ -230,11 +245,11 @@
     }
   });
 
-test('a boot file that cannot be taken ends the start with one line and exit code 2', async () => {
+test('an invalid boot file or role ends the start with one line and exit code 2', async () => {
   const entry = startProgram('entry', { 'revoke-ms': '"soon"' });
   assert.equal(await entry.ended, 2);
   assert.match(entry.output(), /bounds\.revoke-ms: value "soon"; write a number/);
-  const nobody = startProgram('nobody', {});
-  assert.equal(await nobody.ended, 2);
-  assert.match(nobody.output(), /role nobody: name entry or agent/);
+  const unknownRole = startProgram('nobody', {});
+  assert.equal(await unknownRole.ended, 2);
+  assert.match(unknownRole.output(), /role nobody: use entry or agent/);
 });
--- a/test/platform/store-client.test.ts
+++ b/test/platform/store-client.test.ts
@@ -83,7 +83,7 @@
   return watched;
 }
 
-test('a configuration is decoded once into what its fields mean', async () => {
+test('the fields of a configuration are decoded', async () => {
   await withStore(async (_, source) => {
     const value = await readConfig(source);
     assert.equal(value.version, 7);
@@ -99,7 +99,7 @@
   });
 });
 
-test('the list of endpoints is read over all its pages', async () => {
+test('endpoints are read from all pages of the list', async () => {
   await withStore(async (store, source) => {
     store.pageSize = 2;
     for (let i = 0; i < 5; i += 1) store.put(`servers/i-${i}`, ENDPOINT);
@@ -116,24 +116,24 @@
   });
 });
 
-test('whoever watches endpoints alone hears of those, and no new configuration is sent to it', async () => {
+test('a watch with the scope endpoints reports endpoints and no new configuration', async () => {
   const run = async (store: StoreFake, source: PublishedSource): Promise<void> => {
     const read = await readAll(source);
     assert.equal(read.config.kind, 'read');
     const waiting = watch(source, read.revision, 5000);
     store.put('op/config', { ...CONFIG, version: 9 });
     setTimeout(() => store.put('servers/i-1', ENDPOINT), 30);
-    const told = await waiting;
-    assert.equal(told.config.kind, 'same');
+    const watched = await waiting;
+    assert.equal(watched.config.kind, 'same');
     assert.deepEqual(
-      told.endpoints.map((change) => change.kind),
+      watched.endpoints.map((change) => change.kind),
       ['written'],
     );
   };
   await withStore(run, 'endpoints');
 });
 
-test('a watch ends with a change, with its time, or with a history that is gone', async () => {
+test('a watch ends with a change, at its timeout, or if its revision was compacted', async () => {
   await withStore(async (store, source) => {
     const { revision } = await readAll(source);
     assert.equal((await watch(source, revision, 30)).config.kind, 'same');
@@ -148,7 +148,7 @@
   });
 });
 
-test('one watch tells of endpoints that come, leave and go, in their order', async () => {
+test('a watch reports endpoints that are added, drained and removed, in order', async () => {
   await withStore(async (store, source) => {
     const { revision } = await readAll(source);
     store.put('servers/i-1', ENDPOINT);
@@ -164,7 +164,7 @@
   });
 });
 
-test('what changed between the reads of the start is told by the watch from them', async () => {
+test('a watch reports the changes since the initial reads, with the newest configuration only', async () => {
   await withStore(async (store, source) => {
     const { revision } = await readAll(source);
     store.put('servers/i-1', ENDPOINT);
@@ -177,11 +177,11 @@
     const startedAt = performance.now();
     const now = (await readAll(source)).revision;
     assert.equal((await watch(source, now, 60)).endpoints.length, 0);
-    assert.ok(performance.now() - startedAt >= 55, 'nothing newer, so it waits');
+    assert.ok(performance.now() - startedAt >= 55, 'waits, as nothing has changed');
   });
 });
 
-test('an endpoint record that cannot be taken is told by field, value and remedy, and costs no other', async () => {
+test('an invalid endpoint record is reported by field, value and remedy, and does not affect others', async () => {
   await withStore(async (store, source) => {
     store.put('servers/i-1', { ...ENDPOINT, address: 7 });
     store.put('servers/i-2', ENDPOINT);
@@ -190,7 +190,7 @@
       endpoints.map((e) => e.id),
       ['i-2'],
     );
-    assert.match(invalid[0] ?? '', /servers\/i-1\.address: 7 is no text; publish a text/);
+    assert.match(invalid[0] ?? '', /servers\/i-1\.address: 7 is not a string; publish a string/);
     store.put('servers/i-3', { ...ENDPOINT, slots: -1 });
     store.put('servers/i-4', ENDPOINT);
     const changed = await watch(source, revision, 5000);
@@ -203,23 +203,30 @@
 });
 
 /**
- * Story: an entry may come from another writer. One with a state that nobody names was taken for an
- * endpoint that leaves, for good; one whose address is no address made every request that was given to it fail; and a
- * record that was overwritten stayed in use as it had been.
- * Evidence: each of these cases failed on the code before.
+ * Records may come from other writers. Guards against three failures: an unknown state treated as
+ * draining for good, an invalid address failing each request that is sent to it, and an endpoint
+ * kept as it was after its record was overwritten by an invalid one.
  */
-const FOREIGN: readonly (readonly [string, unknown, RegExp])[] = [
-  ['a state that is not named', { ...ENDPOINT, state: 'asleep' }, /state: "asleep" is no state/],
-  ['no state', { ...ENDPOINT, state: undefined }, /state: nothing is no text/],
-  ['an address of a name', { ...ENDPOINT, address: 'engine:80' }, /address: "engine:80" is no/],
-  ['a start that is no number', { ...ENDPOINT, born: 'today' }, /born: "today" is no number/],
-  ['no zone', { ...ENDPOINT, zone: undefined }, /zone: nothing is no text/],
-  ['a list', [], /\[\] is no object/],
-  ['nothing', null, /null is no object/],
+const INVALID_RECORDS: readonly (readonly [string, unknown, RegExp])[] = [
+  ['an unknown state', { ...ENDPOINT, state: 'asleep' }, /state: "asleep" is not a known state/],
+  ['no state', { ...ENDPOINT, state: undefined }, /state: nothing is not a string/],
+  [
+    'a host name as address',
+    { ...ENDPOINT, address: 'engine:80' },
+    /address: "engine:80" is not an address/,
+  ],
+  [
+    'a start time that is not a number',
+    { ...ENDPOINT, born: 'today' },
+    /born: "today" is not a non-negative number/,
+  ],
+  ['no zone', { ...ENDPOINT, zone: undefined }, /zone: nothing is not a string/],
+  ['a list', [], /\[\] is not an object/],
+  ['null', null, /null is not an object/],
 ];
 
-for (const [what, record, message] of FOREIGN) {
-  test(`a record with ${what} names no endpoint, nor does it any more; the others hold`, async () => {
+for (const [description, record, message] of INVALID_RECORDS) {
+  test(`a record with ${description} removes its endpoint and does not affect others`, async () => {
     await withStore(async (store, source) => {
       store.put('servers/i-1', ENDPOINT);
       store.put('servers/i-2', ENDPOINT);
@@ -235,12 +242,16 @@
       );
       store.put('servers/i-1', { ...ENDPOINT, born: 1_772_000_000_000 });
       const again = (await readAll(source)).endpoints.find((e) => e.id === 'i-1');
-      assert.equal(again?.startedAtMs, 1_772_000_000_000, 'the engine has written it again');
+      assert.equal(
+        again?.startedAtMs,
+        1_772_000_000_000,
+        'the endpoint is back after a valid record',
+      );
     });
   });
 }
 
-const MOODS: readonly (readonly [StoreMood, ReadFault['kind']])[] = [
+const STORE_FAULTS: readonly (readonly [StoreMood, ReadFault['kind']])[] = [
   ['busy', 'busy'],
   ['reset', 'reset'],
   ['silent', 'timeout'],
@@ -248,8 +259,8 @@
   ['half', 'reset'],
 ];
 
-for (const [mood, kind] of MOODS) {
-  test(`a store that is ${mood} gives a fault of kind ${kind}, and serves again afterwards`, async () => {
+for (const [mood, kind] of STORE_FAULTS) {
+  test(`a store that is ${mood} causes an error of kind ${kind}, and later reads succeed`, async () => {
     await withStore(async (store, source) => {
       store.mood = mood;
       const read = await source.readAll();
@@ -264,19 +275,27 @@
   });
 }
 
-const IMPOSSIBLE: readonly (readonly [string, unknown, RegExp])[] = [
-  ['no version', { ...CONFIG, version: undefined }, /config\.version: nothing is no number/],
-  ['a text for a list', { ...CONFIG, routes: 'all' }, /\.routes: "all" is no list; publish a list/],
+const INVALID_CONFIGS: readonly (readonly [string, unknown, RegExp])[] = [
+  [
+    'no version',
+    { ...CONFIG, version: undefined },
+    /config\.version: nothing is not a non-negative number/,
+  ],
+  [
+    'a string for a list',
+    { ...CONFIG, routes: 'all' },
+    /\.routes: "all" is not a list; publish a list/,
+  ],
   [
-    'a negative time-out',
+    'a negative timeout',
     { ...CONFIG, routes: [{ ...CONFIG.routes[0], 'timeout-ms': -1 }] },
-    /routes\.0\.timeout-ms: -1 is no number of 0 or more/,
+    /routes\.0\.timeout-ms: -1 is not a non-negative number; publish one/,
   ],
-  ['a list', [], /config: \[\] is no object/],
+  ['a list', [], /config: \[\] is not an object/],
 ];
 
-for (const [what, document, message] of IMPOSSIBLE) {
-  test(`a configuration with ${what} is refused by field, value and remedy`, async () => {
+for (const [description, document, message] of INVALID_CONFIGS) {
+  test(`a configuration with ${description} is refused with field, value and remedy`, async () => {
     await withStore(async (store, source) => {
       const { revision } = await readAll(source);
       store.put('servers/i-1', ENDPOINT);
@@ -284,7 +303,7 @@
       const read = await readAll(source);
       assert.equal(read.config.kind, 'unreadable');
       assert.match(read.invalid[0] ?? '', message);
-      assert.equal(read.endpoints.length, 1, 'what is well beside it is taken');
+      assert.equal(read.endpoints.length, 1, 'the valid endpoint beside it is read');
       const watched = await watch(source, revision, 5000);
       assert.equal(watched.config.kind, 'unreadable');
       assert.match(watched.invalid[0] ?? '', message);
@@ -292,16 +311,16 @@
   });
 }
 
-test('a value that is no base64, or no JSON inside, is refused', async () => {
+test('a value that is not valid Base64, or not valid JSON, is refused', async () => {
   await withStore(async (store, source) => {
     store.putRaw('op/config', '%%%');
-    assert.match((await readAll(source)).invalid[0] ?? '', /no base64; write it again/);
+    assert.match((await readAll(source)).invalid[0] ?? '', /not valid Base64; write it again/);
     store.putRaw('op/config', Buffer.from('{"version":').toString('base64'));
     assert.equal((await readAll(source)).config.kind, 'unreadable');
   });
 });
 
-test('a route of a kind that is not known is treated as the strictest', async () => {
+test('a route of an unknown kind is treated as the strictest kind', async () => {
   await withStore(async (store, source) => {
     store.put('op/config', { ...CONFIG, routes: [{ ...CONFIG.routes[0], kind: 'keyed' }] });
     const value = await readConfig(source);
