--- a/src/cli/account/index.ts
+++ b/src/cli/account/index.ts
@@ -1,84 +1,87 @@
-/** `harrierglade account`: where the worth went, from the logs of entries and agents. */
+/** `harrierglade account`: tabulates how requests ended, from the logs of entries and agents. */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { errorText } from '../../core/errors/index.js';
 import type { SwitchEnd } from '../../core/groups/index.js';
-import { CommandError, EXIT, print } from '../shared/io.js';
-import { readEnd, type RequestEndLine } from './ends.js';
+import { CommandError, EXIT_CODE, print } from '../shared/io.js';
 import { parseLine, type LogPairs } from './log-lines.js';
-import { printReasons, printSpans, spansOf, type GroupFigure } from './tables.js';
+import { readEndedRequest, type EndedRequest } from './request-ends.js';
+import { aggregateBySpan, formatReasons, formatSpans, type GroupSample } from './tables.js';
 
-const MOST_SPAN_S = 86_400;
+const MAX_SPAN_S = 86_400;
 
-function numberIn(line: LogPairs, name: string): number | undefined {
+function readNumber(line: LogPairs, name: string): number | undefined {
   const value = Number(line[name]);
   return line[name] === undefined || Number.isNaN(value) ? undefined : value;
 }
 
-const ROUND_ENDS: readonly SwitchEnd['kind'][] = ['kept', 'switched', 'aborted', 'blocked'];
+const ROUND_RESULTS: readonly SwitchEnd['kind'][] = ['kept', 'switched', 'aborted', 'blocked'];
 
-function readRound(line: LogPairs): SwitchEnd['kind'] | undefined {
-  return ROUND_ENDS.find((kind) => kind === line['end']);
+function readRoundResult(line: LogPairs): SwitchEnd['kind'] | undefined {
+  return ROUND_RESULTS.find((kind) => kind === line['end']);
 }
 
-function readFigure(line: LogPairs): GroupFigure | undefined {
+function readGroupSample(line: LogPairs): GroupSample | undefined {
   const atMs = Date.parse(line['time'] ?? '');
   if (Number.isNaN(atMs)) return undefined;
-  if (line['event'] === 'group.switch') return { atMs, round: readRound(line) };
+  if (line['event'] === 'group.switch') return { atMs, roundResult: readRoundResult(line) };
   if (line['event'] !== 'group.seen') return undefined;
   return {
     atMs,
-    skew: numberIn(line, 'skew'),
-    running: numberIn(line, 'running'),
-    limit: numberIn(line, 'limit'),
-    stepMs: numberIn(line, 'stepMs'),
+    skew: readNumber(line, 'skew'),
+    running: readNumber(line, 'running'),
+    limit: readNumber(line, 'limit'),
+    stepMs: readNumber(line, 'stepMs'),
   };
 }
 
 async function readLogs(
   files: readonly string[],
-): Promise<{ ends: RequestEndLine[]; figures: GroupFigure[] }> {
-  const ends: RequestEndLine[] = [];
-  const figures: GroupFigure[] = [];
+): Promise<{ requests: EndedRequest[]; samples: GroupSample[] }> {
+  const requests: EndedRequest[] = [];
+  const samples: GroupSample[] = [];
   for (const file of files) {
     try {
       for await (const text of createInterface({ input: createReadStream(file) })) {
         const line = parseLine(text);
-        const end = line && readEnd(line);
-        const figure = line && readFigure(line);
-        if (end) ends.push(end);
-        if (figure) figures.push(figure);
+        const request = line && readEndedRequest(line);
+        const sample = line && readGroupSample(line);
+        if (request) requests.push(request);
+        if (sample) samples.push(sample);
       }
     } catch (err) {
-      throw new CommandError(`${file}: ${errorText(err)}. Name a readable log.`, EXIT.usage);
+      throw new CommandError(
+        `${file}: ${errorText(err)}. Give the path of a readable log.`,
+        EXIT_CODE.usage,
+      );
     }
   }
-  return { ends, figures };
+  return { requests, samples };
 }
 
-/** Runs the command. */
+/** Prints a row per time span and a row per reason, or the time spans as JSON. */
 export async function account(
   files: readonly string[],
   options: { span: string; json?: boolean },
 ): Promise<void> {
   const spanS = Number(options.span);
-  if (!(spanS > 0 && spanS <= MOST_SPAN_S))
+  if (!(spanS > 0 && spanS <= MAX_SPAN_S))
     throw new CommandError(
-      `--span ${options.span}: write seconds, above 0 and at most ${MOST_SPAN_S}.`,
-      EXIT.usage,
+      `--span ${options.span}: write a number of seconds above 0 and at most ${MAX_SPAN_S}.`,
+      EXIT_CODE.usage,
     );
-  const { ends, figures } = await readLogs(files);
-  if (ends.length === 0)
+  const { requests, samples } = await readLogs(files);
+  if (requests.length === 0)
     throw new CommandError(
-      'No line tells of the end of a request. Name logs of entries.',
-      EXIT.refused,
+      'The logs have no event=request.end line. Give the logs of entries.',
+      EXIT_CODE.refused,
     );
-  const spans = spansOf(ends, figures, spanS);
+  const spans = aggregateBySpan(requests, samples, spanS);
   if (options.json)
     return print(
       JSON.stringify(spans.map((span) => ({ ...span, counts: Object.fromEntries(span.counts) }))),
     );
-  print(printSpans(spans));
+  print(formatSpans(spans));
   print('');
-  print(printReasons(ends));
+  print(formatReasons(requests));
 }
--- a/src/cli/account/request-ends.ts
+++ b/src/cli/account/request-ends.ts
@@ -1,9 +1,9 @@
-/** How each request ended for its caller, from the line that every request leaves. */
+/** Classifies how requests ended for their callers, from the `request.end` lines of entries. */
 import { MAY_HAVE_RUN_REASONS, type Reason } from '../../core/errors/index.js';
 import type { LogPairs } from './log-lines.js';
 
-/** What became of a request, best first. */
-export const ENDS = [
+/** How a request can end for its caller, best first. */
+export const REQUEST_ENDS = [
   'in time',
   'late: first event',
   'late: pause',
@@ -14,18 +14,18 @@
   'caller left',
   'failed',
 ] as const;
-export type End = (typeof ENDS)[number];
+export type RequestEnd = (typeof REQUEST_ENDS)[number];
 
-/** One request's end. */
-export interface RequestEndLine {
-  /** Time of day at which the request came, ms. */
-  readonly cameAtMs: number;
-  readonly end: End;
-  /** Why it was refused or failed, in the words of the log. */
+/** A request that has ended. */
+export interface EndedRequest {
+  /** Arrival of the request, Unix ms. */
+  readonly arrivedAtMs: number;
+  readonly end: RequestEnd;
+  /** Value of `outcome` in the log line. */
   readonly reason: string;
 }
 
-function answeredEnd(line: LogPairs): End {
+function classifyAnswered(line: LogPairs): RequestEnd {
   if (line['returning'] === 'true') return 'late: came back';
   const firstMs = Number(line['firstMs'] ?? line['tookMs']);
   if (firstMs > Number(line['targetMs'] ?? Infinity)) return 'late: first event';
@@ -33,9 +33,9 @@
   return pauseMs > Number(line['gapMs'] ?? Infinity) ? 'late: pause' : 'in time';
 }
 
-function endOf(line: LogPairs): End {
+function classifyEnd(line: LogPairs): RequestEnd {
   const outcome = line['outcome'] ?? '';
-  if (outcome === 'answered') return answeredEnd(line);
+  if (outcome === 'answered') return classifyAnswered(line);
   if (outcome === 'cut') return 'cut';
   if (outcome === 'gone') return 'caller left';
   if (MAY_HAVE_RUN_REASONS.has(outcome as Reason)) return 'failed';
@@ -43,16 +43,16 @@
 }
 
 /**
- * The end that a log line tells; undefined for any other line.
- * @example readEnd({ event: 'request.end', outcome: 'busy', time: '…', tookMs: '60' })?.end // 'refused'
+ * Decodes a `request.end` line; undefined for any other line.
+ * @example readEndedRequest({ event: 'request.end', outcome: 'busy', time: '…', tookMs: '60' })?.end // 'refused'
  */
-export function readEnd(line: LogPairs): RequestEndLine | undefined {
+export function readEndedRequest(line: LogPairs): EndedRequest | undefined {
   if (line['event'] !== 'request.end') return undefined;
   const endedAtMs = Date.parse(line['time'] ?? '');
   if (Number.isNaN(endedAtMs)) return undefined;
   return {
-    cameAtMs: endedAtMs - Number(line['tookMs'] ?? 0),
-    end: endOf(line),
+    arrivedAtMs: endedAtMs - Number(line['tookMs'] ?? 0),
+    end: classifyEnd(line),
     reason: line['outcome'] ?? '',
   };
 }
--- a/src/cli/account/tables.ts
+++ b/src/cli/account/tables.ts
@@ -1,86 +1,92 @@
-/** Tables of where worth went: by span of time, and by reason. */
+/** Tables of how requests ended: by time span, and by reason. */
 import type { SwitchEnd } from '../../core/groups/index.js';
-import { ENDS, type End, type RequestEndLine } from './ends.js';
+import { REQUEST_ENDS, type EndedRequest, type RequestEnd } from './request-ends.js';
 
-/** What one span of time held. */
-export interface Span {
+/** Requests and group samples of one time span. */
+export interface TimeSpan {
   /** Start of the span, s after the first request. */
   readonly fromS: number;
-  readonly counts: ReadonlyMap<End, number>;
-  /** Longest step-time skew that a coordinator saw, and streams and limit that entries told; NaN without any. */
+  readonly counts: ReadonlyMap<RequestEnd, number>;
+  /** Highest step-time skew, streams in flight and limit in `group.seen` lines; NaN without any. */
   readonly skew: number;
   readonly running: number;
   readonly limit: number;
-  /** Longest mean time of a step that a coordinator saw, ms; NaN without any. */
+  /** Highest mean step time in `group.seen` lines, ms; NaN without any. */
   readonly stepMs: number;
-  /** Rounds of coordinators that brought a new map into use, and rounds that ended without. */
+  /** Switch rounds that brought a new map into use, and those that were blocked or aborted. */
   readonly maps: number;
   readonly failedRounds: number;
 }
 
-/** A figure of the group that some line told. */
-export interface GroupFigure {
+/** Values of one log line about a group. */
+export interface GroupSample {
   readonly atMs: number;
   readonly skew?: number | undefined;
   readonly running?: number | undefined;
   readonly limit?: number | undefined;
   readonly stepMs?: number | undefined;
-  /** How a round of a coordinator ended. */
-  readonly round?: SwitchEnd['kind'] | undefined;
+  /** How a switch round ended. */
+  readonly roundResult?: SwitchEnd['kind'] | undefined;
 }
 
 const MS_PER_S = 1000;
 
-function most(values: readonly (number | undefined)[]): number {
-  const told = values.filter((value) => value !== undefined);
-  return told.length > 0 ? Math.max(...told) : Number.NaN;
+function maxOf(values: readonly (number | undefined)[]): number {
+  const known = values.filter((value) => value !== undefined);
+  return known.length > 0 ? Math.max(...known) : Number.NaN;
 }
 
-function roundsThat(figures: readonly GroupFigure[], ended: SwitchEnd['kind']): number {
-  return figures.filter(({ round }) => round === ended).length;
+function countRounds(samples: readonly GroupSample[], result: SwitchEnd['kind']): number {
+  return samples.filter(({ roundResult }) => roundResult === result).length;
 }
 
 /**
- * Ends and figures by span, in order of time.
- * @example spansOf(ends, figures, 2)[0]?.counts.get('in time')
+ * Counts request ends and aggregates group samples by time span, in chronological order.
+ * @example aggregateBySpan(requests, samples, 2)[0]?.counts.get('in time')
  */
-export function spansOf(
-  ends: readonly RequestEndLine[],
-  figures: readonly GroupFigure[],
+export function aggregateBySpan(
+  requests: readonly EndedRequest[],
+  samples: readonly GroupSample[],
   spanS: number,
-): Span[] {
-  const startMs = ends.reduce((least, end) => Math.min(least, end.cameAtMs), Infinity);
-  const endMs = ends.reduce((last, end) => Math.max(last, end.cameAtMs), -Infinity);
+): TimeSpan[] {
+  const startMs = requests.reduce(
+    (earliest, request) => Math.min(earliest, request.arrivedAtMs),
+    Infinity,
+  );
+  const endMs = requests.reduce(
+    (latest, request) => Math.max(latest, request.arrivedAtMs),
+    -Infinity,
+  );
   const spanMs = spanS * MS_PER_S;
   const count = Math.floor((endMs - startMs) / spanMs) + 1;
-  const counts = Array.from({ length: count }, () => new Map<End, number>());
-  const told = Array.from({ length: count }, (): GroupFigure[] => []);
+  const countsBySpan = Array.from({ length: count }, () => new Map<RequestEnd, number>());
+  const samplesBySpan = Array.from({ length: count }, (): GroupSample[] => []);
   const indexAt = (atMs: number): number => Math.floor((atMs - startMs) / spanMs);
-  for (const end of ends) {
-    const of = counts[indexAt(end.cameAtMs)];
-    of?.set(end.end, (of.get(end.end) ?? 0) + 1);
+  for (const request of requests) {
+    const spanCounts = countsBySpan[indexAt(request.arrivedAtMs)];
+    spanCounts?.set(request.end, (spanCounts.get(request.end) ?? 0) + 1);
   }
-  for (const figure of figures) told[indexAt(figure.atMs)]?.push(figure);
-  return counts.map((of, i) => {
-    const seen = told[i] ?? [];
+  for (const sample of samples) samplesBySpan[indexAt(sample.atMs)]?.push(sample);
+  return countsBySpan.map((spanCounts, i) => {
+    const spanSamples = samplesBySpan[i] ?? [];
     return {
       fromS: (i * spanMs) / MS_PER_S,
-      counts: of,
-      skew: most(seen.map((figure) => figure.skew)),
-      running: most(seen.map((figure) => figure.running)),
-      limit: most(seen.map((figure) => figure.limit)),
-      stepMs: most(seen.map((figure) => figure.stepMs)),
-      maps: roundsThat(seen, 'switched'),
-      failedRounds: roundsThat(seen, 'blocked') + roundsThat(seen, 'aborted'),
+      counts: spanCounts,
+      skew: maxOf(spanSamples.map((sample) => sample.skew)),
+      running: maxOf(spanSamples.map((sample) => sample.running)),
+      limit: maxOf(spanSamples.map((sample) => sample.limit)),
+      stepMs: maxOf(spanSamples.map((sample) => sample.stepMs)),
+      maps: countRounds(spanSamples, 'switched'),
+      failedRounds: countRounds(spanSamples, 'blocked') + countRounds(spanSamples, 'aborted'),
     };
   });
 }
 
-function cell(value: number, digits = 0): string {
+function formatCell(value: number, digits = 0): string {
   return Number.isNaN(value) ? '-' : value.toFixed(digits);
 }
 
-function table(rows: readonly (readonly string[])[]): string {
+function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, i) =>
     Math.max(...rows.map((row) => (row[i] ?? '').length)),
   );
@@ -89,32 +95,41 @@
     .join('\n');
 }
 
-/** One line a span, for a person. */
-export function printSpans(spans: readonly Span[]): string {
-  const head = ['from s', ...ENDS, 'skew', 'streams', 'limit', 'step ms', 'maps', 'failed rounds'];
+/** Formats a table with one row per time span. */
+export function formatSpans(spans: readonly TimeSpan[]): string {
+  const header = [
+    'from s',
+    ...REQUEST_ENDS,
+    'skew',
+    'streams',
+    'limit',
+    'step ms',
+    'maps',
+    'failed rounds',
+  ];
   const rows = spans.map((span) => [
     span.fromS.toFixed(0),
-    ...ENDS.map((end) => String(span.counts.get(end) ?? 0)),
-    cell(span.skew, 2),
-    cell(span.running),
-    cell(span.limit),
-    cell(span.stepMs),
-    cell(span.maps),
-    cell(span.failedRounds),
+    ...REQUEST_ENDS.map((end) => String(span.counts.get(end) ?? 0)),
+    formatCell(span.skew, 2),
+    formatCell(span.running),
+    formatCell(span.limit),
+    formatCell(span.stepMs),
+    formatCell(span.maps),
+    formatCell(span.failedRounds),
   ]);
-  return table([head, ...rows]);
+  return formatTable([header, ...rows]);
 }
 
-/** One line for each end and reason, most frequent first. */
-export function printReasons(ends: readonly RequestEndLine[]): string {
+/** Formats a table with one row per end and reason, most frequent first. */
+export function formatReasons(requests: readonly EndedRequest[]): string {
   const counts = new Map<string, number>();
-  for (const { end, reason } of ends) {
+  for (const { end, reason } of requests) {
     const name = reason === '' || end === reason ? end : `${end} (${reason})`;
     counts.set(name, (counts.get(name) ?? 0) + 1);
   }
   const rows = [...counts].sort((a, b) => b[1] - a[1]);
-  return table([
+  return formatTable([
     ['share', 'requests', 'end'],
-    ...rows.map(([name, count]) => [(count / ends.length).toFixed(3), String(count), name]),
+    ...rows.map(([name, count]) => [(count / requests.length).toFixed(3), String(count), name]),
   ]);
 }
--- a/src/cli/explain/index.ts
+++ b/src/cli/explain/index.ts
@@ -1,9 +1,9 @@
-/** `harrierglade explain`: why a request went where it did. */
+/** `harrierglade explain`: prints why a request was routed to its endpoint or refused. */
 import type { DecisionNote } from '../../caller-api/decisions.js';
 import { formatLine } from '../../core/logging/index.js';
 import { fetchJson, operatorsUrl, print } from '../shared/io.js';
 
-/** Runs the command. */
+/** Prints the routing decision of one request, or those of the latest requests without an ID. */
 export async function explain(
   address: string,
   id: string | undefined,
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
-/** `harrierglade`: the operators' command. Each command's code is loaded only when it runs. */
+/** `harrierglade`: the operators' command line. A command's modules are imported when it runs. */
 import { Command } from 'commander';
-import { CommandError, EXIT } from './shared/io.js';
+import { CommandError, EXIT_CODE } from './shared/io.js';
 
 const EXIT_HELP = `
-Exit codes: 0 done, 1 refused or faults found, 2 usage or unreadable input, 3 unreachable.`;
+Exit codes: 0 done, 1 refused or errors found, 2 usage or unreadable input, 3 unreachable.`;
 
 const program = new Command('harrierglade')
   .description(
-    'Looks into harrierglade and prepares its configuration. It changes nothing by itself.',
+    'Inspects harrierglade daemons and prepares their configuration. It publishes nothing itself.',
   )
   .addHelpText('after', EXIT_HELP);
 
@@ -25,11 +25,11 @@
   );
 program
   .command('plan <intent>')
-  .description('make a plan for an event from the published state')
+  .description('make a plan for an event from the published configuration')
   .requiredOption('--platform <url>', "URL of the platform's configuration service")
   .option(
     '--daemon <address>',
-    "operators' address of a daemon, where the newest version is refused",
+    "operators' address of a daemon, needed if the newest version is refused",
   )
   .option('--out <file>', 'write the plan as JSON, for confirm')
   .option('--json', 'print the plan as JSON')
@@ -41,13 +41,13 @@
   );
 program
   .command('confirm <plan>')
-  .description('check that a plan still holds and emit the document to publish')
+  .description('check that a plan is still valid and emit the document to publish')
   .requiredOption('--platform <url>', "URL of the platform's configuration service")
   .option(
     '--daemon <address>',
-    "operators' address of a daemon, where the newest version is refused",
+    "operators' address of a daemon, needed if the newest version is refused",
   )
-  .option('--out <file>', 'write the document there instead of to standard output')
+  .option('--out <file>', 'write the document to a file instead of standard output')
   .action(async (file: string, options: { platform: string; daemon?: string; out?: string }) =>
     (await import('./confirm/index.js')).confirm(file, options),
   );
@@ -63,14 +63,16 @@
 program
   .command('counters <operators>')
   .description('counters of one daemon')
-  .option('--match <text>', 'only names that contain the text', '')
+  .option('--match <text>', 'only counters whose names contain the text', '')
   .option('--json', 'print JSON')
   .action(async (address: string, options: { match: string; json?: boolean }) =>
     (await import('./counters/index.js')).counters(address, options),
   );
 program
   .command('explain <operators> [request]')
-  .description('why a request went where it did or was refused; without a request, the latest ones')
+  .description(
+    'why a request was routed to its endpoint or refused; without a request, the latest ones',
+  )
   .option('--json', 'print JSON')
   .action(async (address: string, id: string | undefined, options: { json?: boolean }) =>
     (await import('./explain/index.js')).explain(address, id, options),
@@ -79,23 +81,23 @@
 program
   .command('account <logs...>')
   .description(
-    'where the worth went: how requests ended, by time and by reason, from logs of entries and agents',
+    'how requests ended for their callers, by time and by reason, from logs of entries and agents',
   )
-  .option('--span <seconds>', 'length of one line of the table', '2')
+  .option('--span <seconds>', 'time span that one row of the table covers', '2')
   .option('--json', 'print the table as JSON')
   .action(async (files: string[], options: { span: string; json?: boolean }) =>
     (await import('./account/index.js')).account(files, options),
   );
 
-// Whoever reads may have seen enough, as `head` has after ten lines.
+// A reader such as `head` may close the pipe before all output is written.
 process.stdout.on('error', (err: NodeJS.ErrnoException) => {
-  if (err.code === 'EPIPE') process.exit(EXIT.ok);
+  if (err.code === 'EPIPE') process.exit(EXIT_CODE.ok);
   throw err;
 });
 
-program.exitOverride((err) => process.exit(err.exitCode === 0 ? EXIT.ok : EXIT.usage));
+program.exitOverride((err) => process.exit(err.exitCode === 0 ? EXIT_CODE.ok : EXIT_CODE.usage));
 program.parseAsync().catch((err: unknown) => {
-  const known = err instanceof CommandError;
-  process.stderr.write(`harrierglade: ${known ? err.message : String(err)}\n`);
-  process.exit(known ? err.exitCode : EXIT.usage);
+  const isCommandError = err instanceof CommandError;
+  process.stderr.write(`harrierglade: ${isCommandError ? err.message : String(err)}\n`);
+  process.exit(isCommandError ? err.exitCode : EXIT_CODE.usage);
 });
--- a/src/cli/shared/io.ts
+++ b/src/cli/shared/io.ts
@@ -1,4 +1,4 @@
-/** Input and output that the commands share. */
+/** Input and output shared by the commands. */
 import { readFileSync } from 'node:fs';
 import { request } from 'undici';
 import { judgeDocument } from '../../core/config-feed/index.js';
@@ -6,9 +6,9 @@
 import type { ConfigurationDocument } from '../../generated/configuration.types.js';
 
 /** Exit codes of every command. */
-export const EXIT = { ok: 0, refused: 1, usage: 2, unreachable: 3 } as const;
+export const EXIT_CODE = { ok: 0, refused: 1, usage: 2, unreachable: 3 } as const;
 
-/** Ends a command with a message and a code. */
+/** Ends a command with a message on standard error and an exit code. */
 export class CommandError extends Error {
   constructor(
     message: string,
@@ -18,69 +18,75 @@
   }
 }
 
-/** Prints text for a person. */
+/** Writes a text to standard output, ended by a newline. */
 export function print(text: string): void {
   process.stdout.write(text.endsWith('\n') ? text : `${text}\n`);
 }
 
-/** Reads a JSON file or ends the command. */
+/** Reads a JSON file; throws a `CommandError` if it cannot be read or parsed. */
 export function readJsonFile(path: string): unknown {
   try {
     return JSON.parse(readFileSync(path, 'utf8'));
   } catch (err) {
-    throw new CommandError(`${path}: ${errorText(err)}. Name a readable JSON file.`, EXIT.usage);
+    throw new CommandError(
+      `${path}: ${errorText(err)}. Give the path of a readable JSON file.`,
+      EXIT_CODE.usage,
+    );
   }
 }
 
-/** GET of a JSON document or ends the command. */
+/** Fetches a JSON document; throws a `CommandError` with the server's message if it is refused. */
 export async function fetchJson(url: string): Promise<unknown> {
   try {
     const res = await request(url, { headersTimeout: 5000, bodyTimeout: 5000 });
     const data = await res.body.json();
     if (res.statusCode === 200) return data;
-    const said = (data as { error?: string }).error ?? `status ${res.statusCode}`;
-    throw new CommandError(said, EXIT.refused);
+    const message = (data as { error?: string }).error ?? `status ${res.statusCode}`;
+    throw new CommandError(message, EXIT_CODE.refused);
   } catch (err) {
     if (err instanceof CommandError) throw err;
     throw new CommandError(
-      `${url}: ${errorText(err)}. Check the address and that the service runs.`,
-      EXIT.unreachable,
+      `${url}: ${errorText(err)}. Check the address and whether the service is running.`,
+      EXIT_CODE.unreachable,
     );
   }
 }
 
-/** Base URL of a daemon's operators' address. */
+/** Base URL of the operators' address of a daemon. */
 export function operatorsUrl(address: string): string {
   return address.startsWith('http://') ? address : `http://${address}`;
 }
 
-/** The published state as an operator's command needs it. */
-export interface Published {
-  /** Newest version at the platform, in force or refused. */
-  readonly newest: number;
-  /** The document in force. */
+/** The configuration in force, and the newest version. */
+export interface ConfigurationState {
+  /** Newest version on the platform, which may have been refused. */
+  readonly newestVersion: number;
+  /** Document in force. */
   readonly doc: ConfigurationDocument;
 }
 
-/** Reads the newest version from the platform; the document in force from a daemon where that one is refused. */
-export async function readPublished(
+/**
+ * Reads the newest document from the platform. If that one is refused, reads the document in force
+ * from a daemon.
+ */
+export async function readConfiguration(
   platform: string,
   daemon: string | undefined,
-): Promise<Published> {
+): Promise<ConfigurationState> {
   const data = await fetchJson(`${platform}/configuration?above=0&wait=0`);
   const newest = Number((data as { version?: unknown }).version);
-  const verdict = judgeDocument(data);
-  if (verdict.ok) return { newest, doc: verdict.val };
+  const checked = judgeDocument(data);
+  if (checked.ok) return { newestVersion: newest, doc: checked.val };
   if (!daemon) {
     const remedy =
-      "Name a daemon with --daemon HOST:PORT (its operators' address), to read the version in force.";
+      "Pass --daemon HOST:PORT (a daemon's operators' address) to read the version in force.";
     throw new CommandError(
-      `The platform's version ${newest} is refused: ${verdict.val.message} ${remedy}`,
-      EXIT.refused,
+      `The platform's version ${newest} is refused: ${checked.val.message} ${remedy}`,
+      EXIT_CODE.refused,
     );
   }
-  const held = await fetchJson(`${operatorsUrl(daemon)}/configuration`);
-  const inForce = judgeDocument(held);
-  if (inForce.err) throw new CommandError(notRun('no-config').message, EXIT.refused);
-  return { newest, doc: inForce.val };
+  const daemonDocument = await fetchJson(`${operatorsUrl(daemon)}/configuration`);
+  const inForce = judgeDocument(daemonDocument);
+  if (inForce.err) throw new CommandError(notRun('no-config').message, EXIT_CODE.refused);
+  return { newestVersion: newest, doc: inForce.val };
 }
--- a/test/cli/account.test.ts
+++ b/test/cli/account.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { readEnd } from '../../src/cli/account/ends.js';
 import { parseLine } from '../../src/cli/account/log-lines.js';
-import { printReasons, printSpans, spansOf } from '../../src/cli/account/tables.js';
+import { readEndedRequest } from '../../src/cli/account/request-ends.js';
+import { aggregateBySpan, formatReasons, formatSpans } from '../../src/cli/account/tables.js';
 import { formatLine } from '../../src/core/logging/index.js';
 
 const AT = '2026-01-01T00:00:10.000Z';
 
-/** The end that a line with some pairs tells. */
+/** The end decoded from a `request.end` line with the given pairs. */
 function endOf(pairs: Record<string, string | number | boolean>): string | undefined {
   const line = formatLine({ time: AT, event: 'request.end', tookMs: 500, ...pairs });
   const parsed = parseLine(`12.3 front-1 ${line}`);
-  return parsed && readEnd(parsed)?.end;
+  return parsed && readEndedRequest(parsed)?.end;
 }
 
-test('what a daemon writes is read back, whatever stands in its values', () => {
+test('a formatted log line is parsed back, whatever its values contain', () => {
   fc.assert(
     fc.property(fc.string(), fc.string(), (detail, request) => {
       const parsed = parseLine(formatLine({ event: 'request.end', detail, request }));
@@ -26,7 +26,7 @@
   assert.equal(parseLine('event=request.end detail="cut of')?.['detail'], 'cut of');
 });
 
-test('a line tells how its request ended for the caller', () => {
+test('a request.end line is classified by how the request ended for the caller', () => {
   const stream = {
     outcome: 'answered',
     firstMs: 200,
@@ -44,24 +44,24 @@
   assert.equal(endOf({ outcome: 'time-over' }), 'failed');
   assert.equal(endOf({ outcome: 'cut' }), 'cut');
   assert.equal(endOf({ outcome: 'gone' }), 'caller left');
-  assert.equal(readEnd({ event: 'group.switch' }), undefined);
+  assert.equal(readEndedRequest({ event: 'group.switch' }), undefined);
 });
 
-test('ends are counted by the time at which their requests came, with what was seen of the group', () => {
-  const end = (cameAtMs: number, what: 'in time' | 'refused') => ({
-    cameAtMs,
-    end: what,
-    reason: what === 'refused' ? 'busy' : 'answered',
+test('request ends are counted by arrival time, beside the group samples of that time', () => {
+  const end = (arrivedAtMs: number, result: 'in time' | 'refused') => ({
+    arrivedAtMs,
+    end: result,
+    reason: result === 'refused' ? 'busy' : 'answered',
   });
-  const ends = [end(1000, 'in time'), end(2900, 'refused'), end(3100, 'in time')];
-  const figures = [
+  const requests = [end(1000, 'in time'), end(2900, 'refused'), end(3100, 'in time')];
+  const samples = [
     { atMs: 1500, skew: 1.2 },
     { atMs: 1600, skew: 3.1, running: 40, stepMs: 144 },
-    { atMs: 1700, round: 'switched' as const },
-    { atMs: 1800, round: 'blocked' as const },
-    { atMs: 1900, round: 'kept' as const },
+    { atMs: 1700, roundResult: 'switched' as const },
+    { atMs: 1800, roundResult: 'blocked' as const },
+    { atMs: 1900, roundResult: 'kept' as const },
   ];
-  const spans = spansOf(ends, figures, 2);
+  const spans = aggregateBySpan(requests, samples, 2);
   assert.deepEqual(
     spans.map((span) => [span.fromS, span.counts.get('in time'), span.counts.get('refused')]),
     [
@@ -75,6 +75,6 @@
     [spans[0]?.stepMs, spans[0]?.maps, spans[0]?.failedRounds, spans[1]?.maps],
     [144, 1, 1, 0],
   );
-  assert.match(printSpans(spans), /3\.10/);
-  assert.match(printReasons(ends), /0\.333\s+1\s+refused \(busy\)/);
+  assert.match(formatSpans(spans), /3\.10/);
+  assert.match(formatReasons(requests), /0\.333\s+1\s+refused \(busy\)/);
 });
--- a/test/cli/cli.test.ts
+++ b/test/cli/cli.test.ts
@@ -1,4 +1,4 @@
-/** The command as operators run it, as a process of its own. */
+/** The command line as operators run it, in a separate process. */
 import assert from 'node:assert/strict';
 import { execFile, spawn } from 'node:child_process';
 import { once } from 'node:events';
@@ -56,9 +56,9 @@
   sacrifice: [],
 };
 
-test('an intent becomes a plan, the plan a document, and a plan whose base moved is refused', async () => {
+test('plan and confirm turn an intent into a document, and confirm refuses a plan of an older version', async () => {
   const plan = join(folder, 'plan.json');
-  const made = await run(
+  const planned = await run(
     'cli',
     'plan',
     file('intent.json', INTENT),
@@ -67,8 +67,8 @@
     '--out',
     plan,
   );
-  assert.equal(made.code, 0);
-  assert.match(made.out, /Capacity against surge/);
+  assert.equal(planned.code, 0);
+  assert.match(planned.out, /Capacity against surge/);
   const out = join(folder, 'document.json');
   const confirmed = await run('cli', 'confirm', plan, '--platform', platform.url, '--out', out);
   assert.equal(confirmed.code, 0);
@@ -78,19 +78,19 @@
     body: ReturnType<typeof plainBody>;
   };
   platform.publish(publication.body, publication.basedOn);
-  const late = await run('cli', 'confirm', plan, '--platform', platform.url);
-  assert.equal(late.code, 1);
-  assert.match(late.err, /The plan rests on version 1, in force is 2/);
+  const outdated = await run('cli', 'confirm', plan, '--platform', platform.url);
+  assert.equal(outdated.code, 1);
+  assert.match(outdated.err, /The plan rests on version 1, in force is 2/);
 });
 
-test('the newest version being refused, the command names the way to the one in force', async () => {
+test('plan suggests --daemon if the newest version is refused', async () => {
   platform.publish(plainBody(), 0);
   const refused = await run('cli', 'plan', file('intent.json', INTENT), '--platform', platform.url);
   assert.equal(refused.code, 1);
   assert.match(refused.err, /--daemon HOST:PORT/);
 });
 
-test('check names the faults of settings, documents and intents', async () => {
+test('check reports the errors in settings and configurations', async () => {
   const bad = await run('cli', 'check', file('settings.json', { role: 'entri' }));
   assert.equal(bad.code, 1);
   assert.match(bad.err, /use one of entry, agent/);
@@ -102,7 +102,7 @@
   assert.match(unsafe.err, /model "passenger-summary" stands twice; keep one/);
 });
 
-test('the examples that ship are good', async () => {
+test('check accepts the shipped examples', async () => {
   for (const site of ['nyungwe', 'sao-mai']) {
     const body = await run(
       'cli',
@@ -127,7 +127,7 @@
   }
 });
 
-test('unreadable input, bad usage and unreachable services have exit codes of their own', async () => {
+test('unreadable input, wrong usage and unreachable services have their documented exit codes', async () => {
   assert.equal((await run('cli', 'check', '/nowhere.json')).code, 2);
   assert.equal((await run('cli', 'check', file('x.json', {}), '--kind', 'setings')).code, 2);
   assert.equal((await run('cli', 'nonsense')).code, 2);
@@ -135,7 +135,7 @@
   assert.equal((await run('cli', '--help')).code, 0);
 });
 
-test('a reader that has seen enough ends the command without a fault', async () => {
+test('a reader that closes the pipe early ends the command with exit code 0 and no message', async () => {
   const end = (second: number, request: string): string =>
     `time=2026-01-01T00:00:${String(second).padStart(2, '0')}Z event=request.end request=${request} outcome=answered`;
   const log = join(folder, 'entry.log');
@@ -149,7 +149,7 @@
   assert.deepEqual([code, err], [0, '']);
 });
 
-test('the daemon refuses bad settings before it opens anything', async () => {
+test('the daemon refuses invalid settings with exit code 2', async () => {
   const daemon = await run(
     'daemon',
     '--settings',
@@ -159,14 +159,14 @@
   assert.match(daemon.err, /did you mean "listen"/);
 });
 
-test('the daemon as it ships starts on good settings and ends a planned stop with 0', async () => {
-  const any = { host: '127.0.0.1', port: 0 };
+test('the built daemon starts with valid settings and exits with code 0 on SIGTERM', async () => {
+  const anyPort = { host: '127.0.0.1', port: 0 };
   const settings = file('good.json', {
     role: 'entry',
     instance: 'kgl-a-entry-1',
     dataCentre: 'kgl-a',
     platform: { url: platform.url },
-    listen: { callers: any, daemons: any, operators: any },
+    listen: { callers: anyPort, daemons: anyPort, operators: anyPort },
   });
   const main = 'src/daemon/main.js';
   const started = await startProcess('daemon', main, ['--settings', settings], readyPorts);
