--- a/src/caller-api/caller-api.ts
+++ b/src/caller-api/caller-api.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { PublishedConfig, Route } from '../core/published/index.js';
 import { Err, Ok, type Result } from '../core/result/index.js';
-import type { CallerInterface, GatewayRequest, Refusal, RequestContent } from '../gateway/index.js';
+import type { CallerApi, GatewayRequest, Refusal, RequestContent } from '../gateway/index.js';
 import type { ConfigurationBody } from '../generated/configuration.types.js';
 import { parseChatRequest } from './chat.js';
 import { CALLER_HEADERS, CHAT_PATH, MODELS_PATH, SERVICES_PREFIX } from './consts.js';
@@ -48,7 +48,7 @@
  * Creates the caller API that the gateway calls.
  * @example createContext({ ...deps, callers: createCallerApi(apiDeps) })
  */
-export function createCallerApi(deps: CallerApiDeps): CallerInterface {
+export function createCallerApi(deps: CallerApiDeps): CallerApi {
   const { timeoutMs } = deps;
 
   function routeOf(_: PublishedConfig, __: unknown, req: IncomingMessage): Route | undefined {
@@ -91,14 +91,14 @@
   }
 
   return {
-    readCaller: (headers) => readRequestHead(headers, deps.nextRequestId()),
+    readRequest: (headers) => readRequestHead(headers, deps.nextRequestId()),
     writeAttempt: attemptHeaders,
-    readAnswer: readResponseHead,
+    readResponse: readResponseHead,
     requestIdHeader: CALLER_HEADERS.requestId,
     routeOf,
     readContent,
     answer,
-    pathAt: (url) => (url.startsWith(SERVICES_PREFIX) ? splitServicePath(url).rest : url),
+    upstreamPath: (url) => (url.startsWith(SERVICES_PREFIX) ? splitServicePath(url).rest : url),
     admit: (request) => deps.limits.admit(request),
   };
 }
--- a/src/caller-api/headers.ts
+++ b/src/caller-api/headers.ts
@@ -1,8 +1,8 @@
 /** Reads and writes the headers of the caller API. */
 import type { IncomingHttpHeaders } from 'node:http';
-import { readAsks } from '../core/backpressure/index.js';
+import { parseSignals } from '../core/backpressure/index.js';
 import { keyHash } from '../core/config-feed/index.js';
-import type { AnswerHead, AttemptMeta, CallerHead } from '../gateway/index.js';
+import type { ResponseHead, AttemptMeta, RequestHead } from '../gateway/index.js';
 import { CALLER_HEADERS, ENDPOINT_HEADERS, MAX_DEADLINE_MS, PRIORITY } from './consts.js';
 
 const BEARER = /^bearer +(\S+)$/i;
@@ -31,7 +31,7 @@
  * Reads the headers of a caller's request, which gets the request id passed in.
  * @example readRequestHead(req.headers, 'kgl-a-entry-1/mip3/r7').deadlineMs
  */
-export function readRequestHead(headers: IncomingHttpHeaders, requestId: string): CallerHead {
+export function readRequestHead(headers: IncomingHttpHeaders, requestId: string): RequestHead {
   const deadline = parseNumberHeader(headers, CALLER_HEADERS.deadline, 1, MAX_DEADLINE_MS);
   const priority = parseNumberHeader(headers, CALLER_HEADERS.priority, PRIORITY.min, PRIORITY.max);
   const key = BEARER.exec(headers.authorization ?? '')?.[1];
@@ -72,7 +72,7 @@
  * Reads the head of an endpoint's response; endpoints behind this API need no signature.
  * @example readResponseHead(200, res.headers).requestId
  */
-export function readResponseHead(status: number, headers: IncomingHttpHeaders): AnswerHead {
+export function readResponseHead(status: number, headers: IncomingHttpHeaders): ResponseHead {
   const headerText = (name: string): string | undefined => headers[name]?.toString();
   const id = headers[ENDPOINT_HEADERS.requestId];
   const type = headers['content-type'] ?? 'application/octet-stream';
@@ -82,7 +82,7 @@
     isSigned: true,
     isNotRun: headers[ENDPOINT_HEADERS.notRun] !== undefined,
     isEncoded: headers['content-encoding'] !== undefined,
-    asks: readAsks(status, {
+    asks: parseSignals(status, {
       rest: headerText(ENDPOINT_HEADERS.rest),
       leaving: headerText(ENDPOINT_HEADERS.leaving),
       limit: headerText(ENDPOINT_HEADERS.limit),
--- a/src/caller-api/organisation-limits.ts
+++ b/src/caller-api/organisation-limits.ts
@@ -87,7 +87,7 @@
       tokens: request.tokens ?? 1,
       predictedMs: expectedRunMs * (1 + queuedPerSlot),
       waitMs: expectedRunMs * queuedPerSlot,
-      deadlineMs: request.leftMs(),
+      deadlineMs: request.remainingMs(),
       priority: Number(request.req.headers[CALLER_HEADERS.priority] ?? PRIORITY.default),
     };
   }
--- a/src/cli/account/index.ts
+++ b/src/cli/account/index.ts
@@ -2,7 +2,7 @@
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { errorText } from '../../core/errors/index.js';
-import type { SwitchEnd } from '../../core/groups/index.js';
+import type { SwitchOutcome } from '../../core/groups/index.js';
 import { CommandError, EXIT_CODE, print } from '../shared/io.js';
 import { parseLine, type LogPairs } from './log-lines.js';
 import { readEndedRequest, type EndedRequest } from './request-ends.js';
@@ -15,9 +15,9 @@
   return line[name] === undefined || Number.isNaN(value) ? undefined : value;
 }
 
-const ROUND_RESULTS: readonly SwitchEnd['kind'][] = ['kept', 'switched', 'aborted', 'blocked'];
+const ROUND_RESULTS: readonly SwitchOutcome['kind'][] = ['kept', 'switched', 'aborted', 'blocked'];
 
-function readRoundResult(line: LogPairs): SwitchEnd['kind'] | undefined {
+function readRoundResult(line: LogPairs): SwitchOutcome['kind'] | undefined {
   return ROUND_RESULTS.find((kind) => kind === line['end']);
 }
 
--- a/src/cli/account/tables.ts
+++ b/src/cli/account/tables.ts
@@ -1,5 +1,5 @@
 /** Tables of how requests ended: by time span, and by reason. */
-import type { SwitchEnd } from '../../core/groups/index.js';
+import type { SwitchOutcome } from '../../core/groups/index.js';
 import { REQUEST_ENDS, type EndedRequest, type RequestEnd } from './request-ends.js';
 
 /** Requests and group samples of one time span. */
@@ -26,7 +26,7 @@
   readonly limit?: number | undefined;
   readonly stepMs?: number | undefined;
   /** How a switch round ended. */
-  readonly roundResult?: SwitchEnd['kind'] | undefined;
+  readonly roundResult?: SwitchOutcome['kind'] | undefined;
 }
 
 const MS_PER_S = 1000;
@@ -36,7 +36,7 @@
   return known.length > 0 ? Math.max(...known) : Number.NaN;
 }
 
-function countRounds(samples: readonly GroupSample[], result: SwitchEnd['kind']): number {
+function countRounds(samples: readonly GroupSample[], result: SwitchOutcome['kind']): number {
   return samples.filter(({ roundResult }) => roundResult === result).length;
 }
 
--- a/src/core/events/plan.ts
+++ b/src/core/events/plan.ts
@@ -1,7 +1,7 @@
 /** Plans an event from an operator's intent and the published configuration. */
 import type { ConfigurationBody, GroupConfig } from '../../generated/configuration.types.js';
 import validateIntent from '../../generated/intent.validator.js';
-import { SACRIFICE_FROM_PRESSURE } from '../admission/index.js';
+import { MIN_SACRIFICE_PRESSURE } from '../admission/index.js';
 import { notRun, type HarriergladeError } from '../errors/index.js';
 import { Err, Ok, type Result } from '../result/index.js';
 import { validationErrors, nearestName } from '../settings/index.js';
@@ -165,12 +165,12 @@
   const capacity = models.reduce((sum, t) => sum + (t.capacity ?? 0), 0);
   let demand = models.reduce((sum, t) => sum + t.surge, 0);
   const total = demand;
-  const step = (1 - SACRIFICE_FROM_PRESSURE) / Math.max(1, event.sacrifice.length);
+  const step = (1 - MIN_SACRIFICE_PRESSURE) / Math.max(1, event.sacrifice.length);
   return event.sacrifice.map((name, index) => {
     demand = Math.max(0, demand - freedTokensPerSecond(name, body, event, targets, total));
     return {
       given: name,
-      fromPressure: SACRIFICE_FROM_PRESSURE + index * step,
+      fromPressure: MIN_SACRIFICE_PRESSURE + index * step,
       shortfallLeft: Math.max(0, demand - capacity),
     };
   });
--- a/src/core/published/relay-client.ts
+++ b/src/core/published/relay-client.ts
@@ -183,7 +183,7 @@
 
   /** Evidence of crashes is merged even if the rest of the update is unusable. */
   private mergeCrashes({ crashes, crashVersion = 0 }: PublishedNews): void {
-    if (crashes) this.parts.crashes?.take(crashes);
+    if (crashes) this.parts.crashes?.merge(crashes);
     this.seenCrashVersion = crashVersion;
   }
 
--- a/src/core/published/relay.ts
+++ b/src/core/published/relay.ts
@@ -158,7 +158,7 @@
     if (!crashes || request.crashesHeard === undefined) return {};
     const fields = { crashVersion: crashes.version };
     if (!this.lacksCrashUpdate(request)) return fields;
-    return { ...fields, crashes: crashes.newsSince(this.seenCrashVersion(request)) };
+    return { ...fields, crashes: crashes.deltaSince(this.seenCrashVersion(request)) };
   }
 
   /**
--- a/src/daemon/entry.ts
+++ b/src/daemon/entry.ts
@@ -6,7 +6,7 @@
   toPublishedConfig,
   toPublishedEndpoints,
 } from '../caller-api/index.js';
-import { KnownLimits, ShareLimiter, type Sharers } from '../core/backpressure/index.js';
+import { KnownLimits, ShareLimiter, type LimitPeers } from '../core/backpressure/index.js';
 import { SuspensionClock } from '../core/clock/index.js';
 import { asId } from '../core/ids/index.js';
 import { PublishedState, type CallerLimits } from '../core/published/index.js';
@@ -38,11 +38,11 @@
  * The live entries in the instance list share the rate limits that endpoints announce. Each entry
  * knows only the limits it received itself.
  */
-function limitPeers(ctx: DaemonContext): Sharers {
+function limitPeers(ctx: DaemonContext): LimitPeers {
   const entries = ctx.view().all.filter((i) => i.role === 'entry' && i.state === 'live');
   const entryNames = entries.map((i) => i.instance).sort();
   const index = entryNames.indexOf(ctx.self);
-  return { place: index < 0 ? undefined : index, count: Math.max(1, entryNames.length) };
+  return { index: index < 0 ? undefined : index, count: Math.max(1, entryNames.length) };
 }
 
 /** Applies each document and list that the feed accepts to the gateway's state. */
@@ -86,7 +86,7 @@
   const gatewayCtx = createContext({
     settings: {
       // The feed never withdraws a document, and its keys need no freshness check.
-      keyProofMs: Number.POSITIVE_INFINITY,
+      keyFreshnessMs: Number.POSITIVE_INFINITY,
       configApplyMs: Number.POSITIVE_INFINITY,
       bodyMs: settings.limits.bodyMs,
       parserHeaderBytes: settings.limits.headerBytes,
@@ -99,8 +99,8 @@
     clock,
     ageClock,
     // Daemons with this API have no relays, so each entry keeps its observations to itself.
-    tellCrashes: () => undefined,
-    tellLeaving: () => undefined,
+    broadcastCrashes: () => undefined,
+    broadcastLeaving: () => undefined,
     limits,
     limiterOf: (endpoint) =>
       new ShareLimiter(ageClock, ctx.random, () => shareOf(shareInput, endpoint)),
@@ -108,9 +108,9 @@
     log: decisions.recordFrom(ctx.log),
     metrics,
     dataCentre: asId(settings.dataCentre),
-    sightOf: () => undefined,
-    entriesKnown: () => 0,
-    groupSize: () => undefined,
+    statusOf: () => undefined,
+    knownEntries: () => 0,
+    groupLoad: () => undefined,
     groupOf: () => undefined,
   });
   applyFeedChanges(ctx, state);
--- a/test/caller-api/caller-api.test.ts
+++ b/test/caller-api/caller-api.test.ts
@@ -58,7 +58,7 @@
     body,
     route,
     organisation: { id: asId('rwandair'), priority: 5 },
-    leftMs: () => 30_000,
+    remainingMs: () => 30_000,
   } as GatewayRequest;
 }
 
@@ -197,7 +197,7 @@
     chat({ model: 'passenger-summary', messages: MESSAGES, max_tokens: 4000 }),
   );
   const content = api.readContent?.(gatewayRequest).unwrap();
-  const late = createLimits().admit({ ...gatewayRequest, ...content, leftMs: () => 50 });
+  const late = createLimits().admit({ ...gatewayRequest, ...content, remainingMs: () => 50 });
   assert.ok(late.err);
   assert.equal(late.val.reason, 'deadline-unreachable');
 });
--- a/test/core/clock/suspension.test.ts
+++ b/test/core/clock/suspension.test.ts
@@ -101,14 +101,14 @@
     clock: instanceClock,
   });
   try {
-    assert.equal((await harness.ask('q-1')).status, 200);
+    assert.equal((await harness.send('q-1')).status, 200);
     instanceClock.run(2000);
     instanceClock.suspend(5000);
-    const refused = await harness.ask('q-2');
+    const refused = await harness.send('q-2');
     assert.equal(refused.status, 503);
     assert.equal(harness.gateway.isReady(), false);
     harness.state.proveConfig(harness.ctx.ageClock.nowMs());
-    assert.equal((await harness.ask('q-3')).status, 200);
+    assert.equal((await harness.send('q-3')).status, 200);
   } finally {
     harness.close();
     raw.close();
