--- a/bench/capacity/in-process.ts
+++ b/bench/capacity/in-process.ts
@@ -14,7 +14,11 @@
 import { silentLog } from '../../src/core/logging/index.js';
 import { buildInstanceView } from '../../src/core/membership/index.js';
 import { Metrics } from '../../src/core/metrics/index.js';
-import { planPlacement, repack, type PlacementPolicy } from '../../src/core/placement/index.js';
+import {
+  planPlacement,
+  packPlacement,
+  type PlacementPolicy,
+} from '../../src/core/placement/index.js';
 import type {
   ConfigurationBody,
   ConfigurationDocument,
@@ -159,7 +163,7 @@
   experts: number,
 ): { promiseReply: number; prepare: number; round: number; change: number } {
   const slots = Math.ceil(experts / ranks) + 1;
-  const placement = repack(
+  const placement = packPlacement(
     Array.from({ length: layers }, () => Array.from({ length: experts }, (_, e) => e + 1)),
     ranks,
     slots,
@@ -202,7 +206,7 @@
 function placementTime(layers: number): number {
   const deployment = { ...NYUNGWE, ranks: 32, experts: 64, layers, slotsPerRank: 3 };
   const trace = makeTrace(deployment, 3);
-  const start = repack(trace.shares(0), 32, 3);
+  const start = packPlacement(trace.shares(0), 32, 3);
   const policy: PlacementPolicy = {
     skewWeight: 4,
     costWeight: 1,
--- a/bench/decisions/limit-model.ts
+++ b/bench/decisions/limit-model.ts
@@ -4,7 +4,7 @@
   limitShare,
   ASSUMED_PEERS,
   type LimitShare,
-  type Sharers,
+  type LimitPeers,
 } from '../../src/core/backpressure/index.js';
 import { seededRandom } from '../../src/core/clock/index.js';
 
@@ -56,10 +56,10 @@
 /** A way to share a limit out. */
 export type LimitWay = (facts: WayFacts) => LimitShare;
 
-const sharersOf = ({ entry, entries, known, isStranger }: WayFacts): Sharers =>
+const sharersOf = ({ entry, entries, known, isStranger }: WayFacts): LimitPeers =>
   isStranger
-    ? { place: undefined, count: Math.max(ASSUMED_PEERS, entries) }
-    : { place: entry, count: known };
+    ? { index: undefined, count: Math.max(ASSUMED_PEERS, entries) }
+    : { index: entry, count: known };
 
 /** Ways that were weighed. */
 export const LIMIT_WAYS = {
@@ -71,8 +71,8 @@
   'a ring of as many as the bound bears': (facts) =>
     limitShare({
       limitPerS: facts.limitPerS,
-      sharers: sharersOf(facts),
-      ringPlace: facts.ringPlace,
+      peers: sharersOf(facts),
+      ringPosition: facts.ringPlace,
     }),
 } as const satisfies Record<string, LimitWay>;
 
--- a/bench/decisions/main.ts
+++ b/bench/decisions/main.ts
@@ -1,7 +1,7 @@
 /** `npm run bench`: the decisions on seeded traces of both deployments, against baselines. */
 import { limitFigures } from './limit-bench.js';
 import { performance } from 'node:perf_hooks';
-import { planPlacement, repack } from '../../src/core/placement/index.js';
+import { planPlacement, packPlacement } from '../../src/core/placement/index.js';
 import { BASELINES, ours, overSeeds, unbeaten, type PlacementOutcome } from './placement-bench.js';
 import { makeTrace, NYUNGWE, SAO_MAI, type Deployment } from './traces.js';
 
@@ -47,7 +47,7 @@
     slotsPerRank: Math.ceil(experts / ranks) + 1,
   };
   const trace = makeTrace(deployment, 3);
-  const start = repack(trace.shares(0), ranks, deployment.slotsPerRank);
+  const start = packPlacement(trace.shares(0), ranks, deployment.slotsPerRank);
   const drifted = trace.shares(400);
   const at = performance.now();
   planPlacement(start, drifted, {
--- a/bench/decisions/placement-bench.ts
+++ b/bench/decisions/placement-bench.ts
@@ -1,12 +1,12 @@
 /** Replays traces through placement policies: step-time skew against the cost of rebalancing. */
 import {
-  fetchedExperts,
-  HALF_LIFE_MS,
-  HORIZON_MS,
-  MAX_SAVED_MS,
+  countFetchedExperts,
+  POPULARITY_HALF_LIFE_MS,
+  GAIN_HORIZON_MS,
+  MAX_BUDGET_ACCRUAL_MS,
   planPlacement,
   PopularityEstimate,
-  repack,
+  packPlacement,
   stepSkew,
   type Placement,
   type Popularity,
@@ -58,7 +58,7 @@
         bytesPerSecond: d.storeBytesPerSecond,
         budgetBytes,
         balancedStepMs: d.stepMs,
-        horizonSteps: HORIZON_MS / d.stepMs,
+        horizonSteps: GAIN_HORIZON_MS / d.stepMs,
       });
       return plan.fetches.length > 0 ? plan.placement : undefined;
     },
@@ -71,13 +71,15 @@
   ...[60, 120, 300].map((everyS) => ({
     name: `repack every ${everyS} s`,
     decide: ({ second, estimate, deployment: d }: Known) =>
-      second > 0 && second % everyS === 0 ? repack(estimate, d.ranks, d.slotsPerRank) : undefined,
+      second > 0 && second % everyS === 0
+        ? packPlacement(estimate, d.ranks, d.slotsPerRank)
+        : undefined,
   })),
   ...[1.1, 1.2, 1.35].map((threshold) => ({
     name: `repack above ${threshold}`,
     decide: ({ current, estimate, deployment: d }: Known) =>
       stepSkew(current, estimate) > threshold
-        ? repack(estimate, d.ranks, d.slotsPerRank)
+        ? packPlacement(estimate, d.ranks, d.slotsPerRank)
         : undefined,
   })),
 ];
@@ -93,9 +95,13 @@
   policy: PlacementPolicyUnderTest,
 ): PlacementOutcome {
   const trace = makeTrace(deployment, seed);
-  const estimate = new PopularityEstimate(deployment.layers, deployment.experts, HALF_LIFE_MS);
+  const estimate = new PopularityEstimate(
+    deployment.layers,
+    deployment.experts,
+    POPULARITY_HALF_LIFE_MS,
+  );
   // Every policy starts from a packing of the first minute's truth.
-  let current = repack(trace.shares(0), deployment.ranks, deployment.slotsPerRank);
+  let current = packPlacement(trace.shares(0), deployment.ranks, deployment.slotsPerRank);
   let pending: { readonly placement: Placement; readonly readyS: number } | undefined;
   let experts = 0;
   let loadingS = 0;
@@ -107,7 +113,7 @@
     estimate.add(trace.counts(second, TOKENS_PER_DECISION), DECIDE_EVERY_S * 1000);
     savedBytes = Math.min(
       savedBytes + deployment.storeBytesPerSecond * DECIDE_EVERY_S,
-      (deployment.storeBytesPerSecond * MAX_SAVED_MS) / 1000,
+      (deployment.storeBytesPerSecond * MAX_BUDGET_ACCRUAL_MS) / 1000,
     );
     if (pending) continue;
     const next = policy.decide({
@@ -118,7 +124,7 @@
       budgetBytes: savedBytes,
     });
     if (!next) continue;
-    const fetched = fetchedExperts(current, next);
+    const fetched = countFetchedExperts(current, next);
     const seconds = (fetched * deployment.expertBytes) / deployment.storeBytesPerSecond;
     savedBytes -= Math.min(savedBytes, fetched * deployment.expertBytes);
     experts += fetched;
--- a/fakes/platform-engine/rank-calls.ts
+++ b/fakes/platform-engine/rank-calls.ts
@@ -44,7 +44,7 @@
       group: {
         epoch: report.groupEpoch,
         rank: report.rank,
-        state: report.isOpen ? 'open' : 'broken',
+        state: report.isGroupRunning ? 'open' : 'broken',
         size: report.ranks,
       },
       pace: report.pace,
--- a/fakes/rank-engine/rank-group.ts
+++ b/fakes/rank-engine/rank-group.ts
@@ -4,7 +4,7 @@
  * answer and are carried out seconds later. It notes every step that began with different maps.
  */
 import type {
-  CommandAnswer,
+  CommandResult,
   EngineCalls,
   EngineCommand,
   EngineReport,
@@ -144,7 +144,7 @@
           groupEpoch: this.epoch,
           rank: index,
           ranks: this.options.ranks,
-          isOpen: true,
+          isGroupRunning: true,
           pace: 1,
           running: 1,
           queued: 0,
@@ -197,7 +197,7 @@
     command: EngineCommand,
     fence: number,
     epoch: number,
-  ): CommandAnswer {
+  ): CommandResult {
     const rank = this.ranks[index] as Rank;
     if (epoch !== this.epoch) return 'refused';
     if (this.options.checksFences && fence < rank.fence) return 'fenced';
--- a/src/agent/placement-round.ts
+++ b/src/agent/placement-round.ts
@@ -3,15 +3,15 @@
  * outweighs its cost.
  */
 import { PRELOAD_MS } from '../core/events/index.js';
-import type { ChooseMap, ExpertMap, GroupView } from '../core/groups/index.js';
+import type { ChooseMap, ExpertMap, GroupSnapshot } from '../core/groups/index.js';
 import {
   BALANCED_STEP_MS,
-  HALF_LIFE_MS,
-  HORIZON_MS,
-  MAX_SAVED_MS,
+  POPULARITY_HALF_LIFE_MS,
+  GAIN_HORIZON_MS,
+  MAX_BUDGET_ACCRUAL_MS,
   planPlacement,
   PopularityEstimate,
-  withShift,
+  applyDeclaredShifts,
   type DeclaredShift,
   type PlacementPolicy,
 } from '../core/placement/index.js';
@@ -44,7 +44,7 @@
     private readonly ctx: DaemonContext,
     private readonly group: GroupConfig,
   ) {
-    this.estimate = new PopularityEstimate(group.layers, group.experts, HALF_LIFE_MS);
+    this.estimate = new PopularityEstimate(group.layers, group.experts, POPULARITY_HALF_LIFE_MS);
     this.lastRoundAtMs = ctx.clock.nowMs();
   }
 
@@ -57,7 +57,11 @@
     this.estimate.add(this.countsOf(view, view.map), elapsedMs);
     const { shifts, inEvent } = declaredShiftsAt(body, this.group.id, this.ctx.clock.wallMs());
     const policy = this.policyOf(body, inEvent, elapsedMs);
-    const plan = planPlacement(view.map.layers, withShift(this.estimate.read(), shifts, 1), policy);
+    const plan = planPlacement(
+      view.map.layers,
+      applyDeclaredShifts(this.estimate.read(), shifts, 1),
+      policy,
+    );
     this.ctx.metrics.observe('group_skew_permille', plan.skewBefore * 1000, {
       group: this.group.id,
     });
@@ -76,7 +80,7 @@
   };
 
   /** Tokens by layer and expert, combined from the slots of each rank. */
-  private countsOf(view: GroupView, map: ExpertMap): number[][] {
+  private countsOf(view: GroupSnapshot, map: ExpertMap): number[][] {
     const counts = Array.from({ length: this.group.layers }, () =>
       new Array<number>(this.group.experts).fill(0),
     );
@@ -96,7 +100,7 @@
     const { policy } = body;
     // Each group computes its share of the store's rate from the document, without messages.
     const bytesPerSecond = policy.weightStoreBytesPerSecond / Math.max(1, body.groups.length);
-    const maxBytes = (bytesPerSecond * MAX_SAVED_MS) / 1000;
+    const maxBytes = (bytesPerSecond * MAX_BUDGET_ACCRUAL_MS) / 1000;
     this.availableBytes = Math.min(
       maxBytes,
       this.availableBytes + (bytesPerSecond * elapsedMs) / 1000,
@@ -109,7 +113,7 @@
       bytesPerSecond,
       budgetBytes: this.availableBytes,
       balancedStepMs: BALANCED_STEP_MS,
-      horizonSteps: HORIZON_MS / BALANCED_STEP_MS,
+      horizonSteps: GAIN_HORIZON_MS / BALANCED_STEP_MS,
     };
   }
 }
--- a/src/agent/rank.ts
+++ b/src/agent/rank.ts
@@ -7,15 +7,15 @@
 import {
   ARM_MARGIN_STEPS,
   nextEpoch,
-  RankGate,
-  roundPauseMs,
+  SwitchParticipant,
+  roundDelayMs,
   callEachRank,
   runSwitch,
-  type Coordination,
+  type SwitchContext,
   type EngineState,
   type ExpertMap,
   type RankEngine,
-  type SwitchEnd,
+  type SwitchOutcome,
 } from '../core/groups/index.js';
 import type { DaemonContext } from '../runtime/index.js';
 import type { GroupConfig } from '../generated/configuration.types.js';
@@ -65,20 +65,20 @@
   const ownGroup = (): GroupConfig | undefined =>
     ctx.store.config?.body.groups.find((g) => g.endpoints.includes(settings.id));
   const rankIndex = (): number => ownGroup()?.endpoints.indexOf(settings.id) ?? 0;
-  const gate = new RankGate(
+  const gate = new SwitchParticipant(
     ctx.incarnation,
     createRankEngine(endpoint, settings.checksFences ?? true),
     rankIndex,
   );
   let highestEpoch = 0;
   let knownMap: ExpertMap | undefined;
-  let lastSwitch: SwitchEnd | undefined;
+  let lastSwitch: SwitchOutcome | undefined;
   let placementRound: { configJson: string; placement: PlacementRound } | undefined;
 
   const pauseMs = (): number => {
     const { groupMs } = ctx.settings.timing;
     const group = ownGroup();
-    return group ? roundPauseMs({ ...group, ranks: group.endpoints.length }, groupMs) : groupMs;
+    return group ? roundDelayMs({ ...group, ranks: group.endpoints.length }, groupMs) : groupMs;
   };
 
   async function callRank(group: GroupConfig, rank: number, order: RankOrder): Promise<RankReply> {
@@ -115,8 +115,8 @@
     // A new document that does not change the group keeps its popularity estimate.
     const configJson = JSON.stringify(group);
     if (placementRound?.configJson !== configJson)
-      placementRound = { configJson: configJson, placement: new PlacementRound(ctx, group) };
-    const coordination: Coordination = {
+      placementRound = { configJson, placement: new PlacementRound(ctx, group) };
+    const coordination: SwitchContext = {
       group: group.id,
       ranks: group.endpoints.length,
       callRanks: callEachRank((rank, order) => callRank(group, rank, order)),
--- a/src/caller-api/headers.ts
+++ b/src/caller-api/headers.ts
@@ -1,8 +1,8 @@
 /** Reads and writes the headers of the product's own interface. */
 import type { IncomingHttpHeaders } from 'node:http';
-import { readAsks } from '../core/backpressure/index.js';
+import { parseSignals } from '../core/backpressure/index.js';
 import { keyHash } from '../core/config-feed/index.js';
-import type { AnswerHead, AttemptMeta, CallerHead } from '../gateway/index.js';
+import type { ResponseHead, AttemptMeta, RequestHead } from '../gateway/index.js';
 import { CALLER_HEADER, ENDPOINT_HEADER, MAX_DEADLINE_MS, PRIORITY } from './consts.js';
 
 const BEARER = /^bearer +(\S+)$/i;
@@ -31,7 +31,7 @@
  * Reads a caller's headers; the request gets an id of ours.
  * @example readCaller(req.headers, 'kgl-a-entry-1/mip3/r7').deadlineMs
  */
-export function readCaller(headers: IncomingHttpHeaders, requestId: string): CallerHead {
+export function readCaller(headers: IncomingHttpHeaders, requestId: string): RequestHead {
   const deadline = numberHeader(headers, CALLER_HEADER.deadline, 1, MAX_DEADLINE_MS);
   const priority = numberHeader(headers, CALLER_HEADER.priority, PRIORITY.least, PRIORITY.most);
   const key = BEARER.exec(headers.authorization ?? '')?.[1];
@@ -72,7 +72,7 @@
  * What an endpoint's answer says; own endpoints do not sign.
  * @example readAnswer(200, res.headers).requestId
  */
-export function readAnswer(status: number, headers: IncomingHttpHeaders): AnswerHead {
+export function readAnswer(status: number, headers: IncomingHttpHeaders): ResponseHead {
   const textOf = (name: string): string | undefined => headers[name]?.toString();
   const id = headers[ENDPOINT_HEADER.requestId];
   const type = headers['content-type'] ?? 'application/octet-stream';
@@ -82,7 +82,7 @@
     isSigned: true,
     isNotRun: headers[ENDPOINT_HEADER.notRun] !== undefined,
     isEncoded: headers['content-encoding'] !== undefined,
-    asks: readAsks(status, {
+    asks: parseSignals(status, {
       rest: textOf(ENDPOINT_HEADER.rest),
       leaving: textOf(ENDPOINT_HEADER.leaving),
       limit: textOf(ENDPOINT_HEADER.limit),
--- a/src/caller-api/interface.ts
+++ b/src/caller-api/interface.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { PublishedConfig, Route } from '../core/published/index.js';
 import { Err, Ok, type Result } from '../core/result/index.js';
-import type { CallerInterface, GatewayRequest, Refusal, RequestContent } from '../gateway/index.js';
+import type { CallerApi, GatewayRequest, Refusal, RequestContent } from '../gateway/index.js';
 import type { ConfigurationBody } from '../generated/configuration.types.js';
 import { parseChat } from './chat.js';
 import { CALLER_HEADER, CHAT_PATH, MODELS_PATH, SERVICES_PREFIX } from './consts.js';
@@ -48,7 +48,7 @@
  * Makes the interface.
  * @example createContext({ ...parts, callers: createCallerApi(apiParts) })
  */
-export function createCallerApi(parts: CallerApiParts): CallerInterface {
+export function createCallerApi(parts: CallerApiParts): CallerApi {
   const { timeoutMs } = parts;
 
   function routeOf(_: PublishedConfig, __: unknown, req: IncomingMessage): Route | undefined {
@@ -88,14 +88,14 @@
   }
 
   return {
-    readCaller: (headers) => readCaller(headers, parts.nextRequestId()),
+    readRequest: (headers) => readCaller(headers, parts.nextRequestId()),
     writeAttempt,
-    readAnswer,
+    readResponse: readAnswer,
     requestIdHeader: CALLER_HEADER.requestId,
     routeOf,
     readContent,
     answer,
-    pathAt: (url) => (url.startsWith(SERVICES_PREFIX) ? splitServicePath(url).rest : url),
+    upstreamPath: (url) => (url.startsWith(SERVICES_PREFIX) ? splitServicePath(url).rest : url),
     admit: (request) => parts.limits.admit(request),
   };
 }
--- a/src/caller-api/organisation-limits.ts
+++ b/src/caller-api/organisation-limits.ts
@@ -86,7 +86,7 @@
       tokens: request.tokens ?? 1,
       predictedMs: runMs * (1 + waiting),
       waitMs: runMs * waiting,
-      deadlineMs: request.leftMs(),
+      deadlineMs: request.remainingMs(),
       priority: Number(request.req.headers[CALLER_HEADER.priority] ?? PRIORITY.usual),
     };
   }
--- a/src/cli/account/index.ts
+++ b/src/cli/account/index.ts
@@ -2,7 +2,7 @@
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { errorText } from '../../core/errors/index.js';
-import type { SwitchEnd } from '../../core/groups/index.js';
+import type { SwitchOutcome } from '../../core/groups/index.js';
 import { CommandError, EXIT, print } from '../shared/io.js';
 import { readEnd, type RequestEndLine } from './ends.js';
 import { parseLine, type LogPairs } from './log-lines.js';
@@ -15,9 +15,9 @@
   return line[name] === undefined || Number.isNaN(value) ? undefined : value;
 }
 
-const ROUND_ENDS: readonly SwitchEnd['kind'][] = ['kept', 'switched', 'aborted', 'blocked'];
+const ROUND_ENDS: readonly SwitchOutcome['kind'][] = ['kept', 'switched', 'aborted', 'blocked'];
 
-function readRound(line: LogPairs): SwitchEnd['kind'] | undefined {
+function readRound(line: LogPairs): SwitchOutcome['kind'] | undefined {
   return ROUND_ENDS.find((kind) => kind === line['end']);
 }
 
--- a/src/cli/account/tables.ts
+++ b/src/cli/account/tables.ts
@@ -1,5 +1,5 @@
 /** Tables of where worth went: by span of time, and by reason. */
-import type { SwitchEnd } from '../../core/groups/index.js';
+import type { SwitchOutcome } from '../../core/groups/index.js';
 import { ENDS, type End, type RequestEndLine } from './ends.js';
 
 /** What one span of time held. */
@@ -26,7 +26,7 @@
   readonly limit?: number | undefined;
   readonly stepMs?: number | undefined;
   /** How a round of a coordinator ended. */
-  readonly round?: SwitchEnd['kind'] | undefined;
+  readonly round?: SwitchOutcome['kind'] | undefined;
 }
 
 const MS_PER_S = 1000;
@@ -36,7 +36,7 @@
   return told.length > 0 ? Math.max(...told) : Number.NaN;
 }
 
-function roundsThat(figures: readonly GroupFigure[], ended: SwitchEnd['kind']): number {
+function roundsThat(figures: readonly GroupFigure[], ended: SwitchOutcome['kind']): number {
   return figures.filter(({ round }) => round === ended).length;
 }
 
--- a/src/core/admission/admission.ts
+++ b/src/core/admission/admission.ts
@@ -13,7 +13,7 @@
   BORROW_BELOW_PRESSURE,
   MAX_BORROWED_BURSTS,
   BURST_SECONDS,
-  SACRIFICE_FROM_PRESSURE,
+  MIN_SACRIFICE_PRESSURE,
   USAGE_HALF_LIFE_MS,
 } from './consts.js';
 
@@ -69,8 +69,8 @@
 export function sacrificeThreshold(event: EventConfig, req: AdmissionRequest): number | undefined {
   const index = event.sacrifice.findIndex((id) => id === req.organisation || id === req.target);
   if (index < 0) return undefined;
-  const step = (1 - SACRIFICE_FROM_PRESSURE) / event.sacrifice.length;
-  return SACRIFICE_FROM_PRESSURE + index * step;
+  const step = (1 - MIN_SACRIFICE_PRESSURE) / event.sacrifice.length;
+  return MIN_SACRIFICE_PRESSURE + index * step;
 }
 
 /** Admission control of one entry. Times are monotonic ms except `wallMs`. */
--- a/src/core/backpressure/backoff.ts
+++ b/src/core/backpressure/backoff.ts
@@ -26,7 +26,7 @@
   }
 
   /** Whether the backoff is still in effect. */
-  isResting(nowMs: number): boolean {
+  isBackingOff(nowMs: number): boolean {
     return nowMs < this.untilMs;
   }
 
@@ -36,14 +36,14 @@
    */
   opensAtMs(nowMs: number): number {
     if (!this.isHalfOpen) return nowMs;
-    if (this.isResting(nowMs) || this.probeSentAtMs === undefined) return this.untilMs;
+    if (this.isBackingOff(nowMs) || this.probeSentAtMs === undefined) return this.untilMs;
     // The time of the probe's answer is not known; this is the earliest likely one.
     return Math.max(nowMs, this.probeSentAtMs) + PROBE_MS;
   }
 
   /** Notes that a request is sent. */
   noteSent(nowMs: number): void {
-    if (this.isHalfOpen && !this.isResting(nowMs)) this.probeSentAtMs = nowMs;
+    if (this.isHalfOpen && !this.isBackingOff(nowMs)) this.probeSentAtMs = nowMs;
   }
 
   /** Notes that the request sent at a time has ended. */
@@ -54,7 +54,7 @@
   /**
    * Notes a success; it ends the probing unless the request was sent before the end of the backoff.
    */
-  noteGood(sentAtMs: number): void {
+  noteSuccess(sentAtMs: number): void {
     if (sentAtMs >= this.untilMs) this.isHalfOpen = false;
   }
 }
--- a/src/core/backpressure/limit-share.ts
+++ b/src/core/backpressure/limit-share.ts
@@ -17,9 +17,9 @@
 import type { LimitShare } from './token-bucket.js';
 
 /** The peers sharing the limits of a service's endpoints. */
-export interface Sharers {
+export interface LimitPeers {
   /** Index of this entry among those known; undefined if the others are not known. */
-  readonly place: number | undefined;
+  readonly index: number | undefined;
   /** Number of entries, known or assumed. */
   readonly count: number;
 }
@@ -28,9 +28,9 @@
 export interface LimitShareInput {
   /** Requests/s that the endpoint accepts. */
   readonly limitPerS: number;
-  readonly sharers: Sharers;
+  readonly peers: LimitPeers;
   /** Position of the endpoint among those of its service, 0 to 1. */
-  readonly ringPlace: number;
+  readonly ringPosition: number;
 }
 
 const MS_PER_S = 1000;
@@ -50,8 +50,12 @@
  * The share of a limit that one entry may use.
  * @example limitShare({ limitPerS: 4, peers: { index: 2, count: 6 }, ringPosition: 0 }).perS // 0.67
  */
-export function limitShare({ limitPerS, sharers, ringPlace }: LimitShareInput): LimitShare {
-  const { place, count } = sharers;
+export function limitShare({
+  limitPerS,
+  peers: sharers,
+  ringPosition: ringPlace,
+}: LimitShareInput): LimitShare {
+  const { index: place, count } = sharers;
   const allowed = allowedInWindow(limitPerS);
   const maxPerWindow = Math.floor(allowed);
   if (place === undefined) return { perS: limitPerS / Math.max(count, maxPerWindow), saved: 1 };
@@ -67,7 +71,7 @@
  */
 export function releasedShare(
   limitPerS: number,
-  { count }: Sharers,
+  { count }: LimitPeers,
   releasedMs: number,
 ): LimitShare {
   const perS = Math.max(limitPerS, MIN_RELEASED_PER_S) / count;
--- a/src/core/backpressure/parse-signals.ts
+++ b/src/core/backpressure/parse-signals.ts
@@ -2,7 +2,7 @@
  * Parses the backpressure signals of an answer; invalid values are reported and treated as absent.
  */
 import { MAX_BACKOFF_MS } from './consts.js';
-import type { AnswerAsks, AskName, SignalTexts } from './types.js';
+import type { BackpressureSignals, SignalName, SignalTexts } from './types.js';
 
 const UNAVAILABLE = 503;
 const MS_PER_S = 1000;
@@ -28,10 +28,13 @@
  * fractions.
  * @example parseSignals(503, { rest: '2.5', leaving: undefined, limit: undefined }).backoffMs // 2500
  */
-export function readAsks(status: number, { rest, leaving, limit }: SignalTexts): AnswerAsks {
-  const unreadable: AskName[] = [];
+export function parseSignals(
+  status: number,
+  { rest, leaving, limit }: SignalTexts,
+): BackpressureSignals {
+  const unreadable: SignalName[] = [];
   const read = <T>(
-    name: AskName,
+    name: SignalName,
     text: string | undefined,
     parse: (text: string) => T | undefined,
   ) => {
@@ -41,7 +44,7 @@
     return value;
   };
   return {
-    restMs: status === UNAVAILABLE ? read('rest', rest, parseBackoffMs) : undefined,
+    backoffMs: status === UNAVAILABLE ? read('rest', rest, parseBackoffMs) : undefined,
     isLeaving: read('leaving', leaving, parseLeaving) ?? false,
     limitPerS: read('limit', limit, parseDecimal),
     unreadable,
--- a/src/core/crashes/evidence.ts
+++ b/src/core/crashes/evidence.ts
@@ -97,7 +97,7 @@
    * Notes that a request completed successfully `agoMs` ago, so other causes are behind the crashes
    * it was suspected of. False if it was not suspected, or was cleared recently.
    */
-  noteGoodEnd(fingerprint: Fingerprint, agoMs = 0): boolean {
+  noteSuccess(fingerprint: Fingerprint, agoMs = 0): boolean {
     const atMs = this.clock.nowMs() - agoMs;
     const suspect = this.suspects.get(fingerprint);
     if (!suspect || atMs < suspect.clearedAtMs + EVIDENCE_TTL_MS / 2) return false;
@@ -106,7 +106,7 @@
   }
 
   /** Changes after a version, as a message to other entries. */
-  newsSince(version: number): CrashNews {
+  deltaSince(version: number): CrashNews {
     const changed = [...this.suspects].filter(([, suspect]) => suspect.version > version);
     return {
       suspects: changed.map(([fingerprint, suspect]) => this.toMessage(fingerprint, suspect)),
@@ -127,13 +127,13 @@
    * Merges the update of another entry; true if anything changed.
    * @example if (evidence.merge(update)) relay.wake();
    */
-  take({ suspects }: CrashNews): boolean {
+  merge({ suspects }: CrashNews): boolean {
     const before = this.changes;
     for (const { fingerprint: text, crashes, clearedAgoMs } of suspects) {
       const fingerprint = asId<Fingerprint>(text);
       for (const { endpoint, agoMs } of crashes)
         if (agoMs < EVIDENCE_TTL_MS) this.noteCrash(fingerprint, asId<EndpointId>(endpoint), agoMs);
-      if (clearedAgoMs !== undefined) this.noteGoodEnd(fingerprint, clearedAgoMs);
+      if (clearedAgoMs !== undefined) this.noteSuccess(fingerprint, clearedAgoMs);
     }
     return this.changes > before;
   }
--- a/src/core/events/plan.ts
+++ b/src/core/events/plan.ts
@@ -1,7 +1,7 @@
 /** Turns an operator's intent into a plan against the published state. */
 import type { ConfigurationBody, GroupConfig } from '../../generated/configuration.types.js';
 import validateIntent from '../../generated/intent.validator.js';
-import { SACRIFICE_FROM_PRESSURE } from '../admission/index.js';
+import { MIN_SACRIFICE_PRESSURE } from '../admission/index.js';
 import { notRun, type HarriergladeError } from '../errors/index.js';
 import { Err, Ok, type Result } from '../result/index.js';
 import { faultsOf, nearestName } from '../settings/index.js';
@@ -163,12 +163,12 @@
   const capacity = models.reduce((sum, t) => sum + (t.capacity ?? 0), 0);
   let demand = models.reduce((sum, t) => sum + t.surge, 0);
   const total = demand;
-  const step = (1 - SACRIFICE_FROM_PRESSURE) / Math.max(1, event.sacrifice.length);
+  const step = (1 - MIN_SACRIFICE_PRESSURE) / Math.max(1, event.sacrifice.length);
   return event.sacrifice.map((given, at) => {
     demand = Math.max(0, demand - freedBy(given, body, event, targets, total));
     return {
       given,
-      fromPressure: SACRIFICE_FROM_PRESSURE + at * step,
+      fromPressure: MIN_SACRIFICE_PRESSURE + at * step,
       shortfallLeft: Math.max(0, demand - capacity),
     };
   });
--- a/src/core/groups/count-deltas.ts
+++ b/src/core/groups/count-deltas.ts
@@ -2,7 +2,7 @@
  * Converts the cumulative token counts of an engine to increments since a coordinator's last poll.
  */
 
-import { setNewest } from './evict-oldest.js';
+import { setAndEvictOldest } from './evict-oldest.js';
 
 /**
  * Origin of the totals: they restart at 0 with each engine process and each formation of its group.
@@ -42,7 +42,7 @@
     const last = this.lastByCoordinator.get(coordinator);
     const { groupEpoch, engineStartedAtMs } = origin;
     const next = { totals, origin: { groupEpoch, engineStartedAtMs } };
-    setNewest(this.lastByCoordinator, coordinator, next, MAX_COORDINATORS);
+    setAndEvictOldest(this.lastByCoordinator, coordinator, next, MAX_COORDINATORS);
     if (!last || !isSameOrigin(last.origin, origin)) return undefined;
     return totals.map((layer, l) =>
       // A total decreases only when the engine restarted without reporting it.
--- a/src/core/groups/evict-oldest.ts
+++ b/src/core/groups/evict-oldest.ts
@@ -4,7 +4,12 @@
  * Sets an entry as the most recent one, and evicts the oldest when the map exceeds `maxSize`.
  * @example setAndEvictOldest(maps, map.id, map, 3)
  */
-export function setNewest<K, V>(values: Map<K, V>, key: K, value: V, maxSize: number): void {
+export function setAndEvictOldest<K, V>(
+  values: Map<K, V>,
+  key: K,
+  value: V,
+  maxSize: number,
+): void {
   values.delete(key);
   values.set(key, value);
   const [oldest] = values.keys();
--- a/src/core/groups/round-delay.ts
+++ b/src/core/groups/round-delay.ts
@@ -17,7 +17,7 @@
  * rounds would exceed the bandwidth limit of the coordinator.
  * @example roundDelayMs({ ranks: 4, layers: 8, slotsPerRank: 3 }, 2000) // 2000
  */
-export function roundPauseMs(size: GroupSize, minDelayMs: number): number {
+export function roundDelayMs(size: GroupSize, minDelayMs: number): number {
   const bytes =
     size.ranks * (ESTIMATED_ORDER_BYTES + size.layers * size.slotsPerRank * ESTIMATED_COUNT_BYTES);
   return Math.max(minDelayMs, (bytes * 1000) / MAX_ROUND_BYTES_PER_SECOND);
--- a/src/core/groups/switch-participant.ts
+++ b/src/core/groups/switch-participant.ts
@@ -5,7 +5,7 @@
  */
 import type { Incarnation } from '../ids/index.js';
 import { CountDeltas } from './count-deltas.js';
-import { setNewest } from './evict-oldest.js';
+import { setAndEvictOldest } from './evict-oldest.js';
 import { packCounts, packMap, unpackMapChange, unpackMap } from './packing.js';
 import type { ExpertMap, RankOrder, RankReply } from './types.js';
 
@@ -40,7 +40,7 @@
 }
 
 /** Optional parts of an engine read; each costs an extra call or extra bytes. */
-export interface ReadWants {
+export interface ReadOptions {
   /** Token counts, by layer and slot or by layer and expert. */
   readonly counts: boolean;
   /** Experts held by the rank, unless its map is one of `knownMapIds`. */
@@ -58,21 +58,21 @@
 /** Maps kept as bases for map changes: at least the one in use and one being prepared. */
 const MAX_KEPT_MAPS = 3;
 
-const STATE_ONLY: ReadWants = { counts: false, placed: false, knownMapIds: [] };
+const STATE_ONLY: ReadOptions = { counts: false, placed: false, knownMapIds: [] };
 
 /** Client of the engine that runs a rank. */
 export interface RankEngine {
   /** Reads the current state and the requested optional parts. */
-  read(options: ReadWants): Promise<EngineState & { readonly counts?: number[][] }>;
+  read(options: ReadOptions): Promise<EngineState & { readonly counts?: number[][] }>;
   /** Sends an order with its epoch as fencing token. */
-  order(order: EngineOrder): Promise<OrderEnd>;
+  order(order: EngineOrder): Promise<OrderOutcome>;
 }
 
 /**
  * Outcome of an order to the engine; `fenced` when the engine has seen a higher fence, or an equal
  * one from an earlier incarnation.
  */
-export type OrderEnd = 'done' | 'refused' | 'fenced';
+export type OrderOutcome = 'done' | 'refused' | 'fenced';
 
 /** Order to the engine. */
 export type EngineOrder =
@@ -82,7 +82,7 @@
   | { readonly kind: 'confirm' | 'abort'; readonly epoch: number; readonly target: number };
 
 /** Executes the orders of coordinators for one rank. */
-export class RankGate {
+export class SwitchParticipant {
   private promisedEpoch = 0;
   private prepared: ExpertMap | undefined;
   /** Maps prepared by this rank, by id. An id is never reused for a different map. */
@@ -118,7 +118,7 @@
    * Reads the engine state. The engine outlives its agents, so epochs that it reports were promised
    * by some incarnation of this agent and remain binding.
    */
-  private async read(options: ReadWants): ReturnType<RankEngine['read']> {
+  private async read(options: ReadOptions): ReturnType<RankEngine['read']> {
     const state = await this.engine.read(options);
     const observedEpochs = [state.lastConfirmed, state.armed?.epoch ?? 0, state.preparedEpoch ?? 0];
     this.promisedEpoch = Math.max(this.promisedEpoch, ...observedEpochs);
@@ -180,7 +180,7 @@
       return { ...reply, lacksBase: true };
     }
     this.prepared = map;
-    setNewest(this.mapsById, map.id, map, MAX_KEPT_MAPS);
+    setAndEvictOldest(this.mapsById, map.id, map, MAX_KEPT_MAPS);
     return this.replyWithOutcome(
       await this.sendToEngine({ kind: 'load', epoch: order.epoch, map }),
     );
--- a/src/core/groups/switch-round.ts
+++ b/src/core/groups/switch-round.ts
@@ -17,11 +17,11 @@
   ExpertMap,
   RankOrder,
   RankReply,
-  SwitchEnd,
+  SwitchOutcome,
 } from './types.js';
 
 /** Group-specific inputs of a switch round. */
-export interface Coordination {
+export interface SwitchContext {
   readonly group: string;
   readonly ranks: number;
   readonly callRanks: CallRanks;
@@ -63,7 +63,7 @@
     );
 }
 
-function allRanks(ctx: Coordination): number[] {
+function allRanks(ctx: SwitchContext): number[] {
   return Array.from({ length: ctx.ranks }, (_, rank) => rank);
 }
 
@@ -71,7 +71,7 @@
  * Sends an order to the incarnations that promised; the reply is undefined for a rank not reached.
  */
 function sendOrder(
-  ctx: Coordination,
+  ctx: SwitchContext,
   order: RankOrder,
   promises: readonly RankReply[] = [],
   ranks: readonly number[] = allRanks(ctx),
@@ -84,7 +84,7 @@
   return replies.every((r) => r?.done === true);
 }
 
-function blockedOutcome(replies: readonly (RankReply | undefined)[], phase: string): SwitchEnd {
+function blockedOutcome(replies: readonly (RankReply | undefined)[], phase: string): SwitchOutcome {
   const failedRanks = replies.flatMap((r, rank) =>
     r?.done ? [] : [`${rank}${r?.detail ? ` (${r.detail})` : ''}`],
   );
@@ -94,12 +94,12 @@
 
 /** Delivers a decision to every rank, with retries: armed ranks do not proceed without it. */
 async function deliverDecision(
-  ctx: Coordination,
+  ctx: SwitchContext,
   kind: 'confirm' | 'abort',
   epoch: number,
   target: number,
   promises: readonly RankReply[],
-): Promise<SwitchEnd | undefined> {
+): Promise<SwitchOutcome | undefined> {
   let replies: (RankReply | undefined)[] = [];
   for (let attempt = 0; attempt < MAX_DECISION_ATTEMPTS; attempt += 1) {
     replies = await sendOrder(ctx, { group: ctx.group, kind, epoch, target }, promises);
@@ -118,10 +118,10 @@
  * at once, and the state that the ranks report can no longer change under a lower epoch.
  */
 async function recover(
-  ctx: Coordination,
+  ctx: SwitchContext,
   epoch: number,
   promises: readonly RankReply[],
-): Promise<SwitchEnd | undefined> {
+): Promise<SwitchOutcome | undefined> {
   if (promises.every((p) => !p.armed)) return undefined;
   const rechecked = await sendOrder(ctx, { group: ctx.group, kind: 'recheck', epoch }, promises);
   if (!areAllDone(rechecked)) return blockedOutcome(rechecked, 'recheck');
@@ -147,7 +147,7 @@
  * Prepares a map on every rank: sends a change first, and the whole map to ranks without its base.
  */
 async function prepareAll(
-  ctx: Coordination,
+  ctx: SwitchContext,
   epoch: number,
   map: ExpertMap,
   promises: readonly RankReply[],
@@ -170,11 +170,11 @@
 }
 
 async function armAll(
-  ctx: Coordination,
+  ctx: SwitchContext,
   epoch: number,
   map: ExpertMap,
   promises: readonly RankReply[],
-): Promise<SwitchEnd> {
+): Promise<SwitchOutcome> {
   const prepared = await prepareAll(ctx, epoch, map, promises);
   if (!areAllDone(prepared)) return blockedOutcome(prepared, 'prepare');
   const step = Math.max(...prepared.map((r) => r.step)) + ctx.marginSteps();
@@ -193,10 +193,10 @@
  * @example const outcome = await runSwitch(ctx, nextEpoch(highest, 0), chooseMap);
  */
 export async function runSwitch(
-  ctx: Coordination,
+  ctx: SwitchContext,
   epoch: number,
   chooseMap: ChooseMap,
-): Promise<SwitchEnd> {
+): Promise<SwitchOutcome> {
   const promises = await sendOrder(ctx, {
     group: ctx.group,
     kind: 'promise',
--- a/src/core/groups/types.ts
+++ b/src/core/groups/types.ts
@@ -14,7 +14,7 @@
 export type CallRank = (rank: number, order: RankOrder) => Promise<RankReply>;
 
 /** A rank to send an order to, and the incarnation that the order is addressed to. */
-export interface CalledRank {
+export interface RankTarget {
   readonly rank: number;
   readonly incarnation: string | undefined;
 }
@@ -24,11 +24,11 @@
  */
 export type CallRanks = (
   order: RankOrder,
-  ranks: readonly CalledRank[],
+  ranks: readonly RankTarget[],
 ) => Promise<(RankReply | undefined)[]>;
 
 /** Outcome of a switch round. */
-export type SwitchEnd =
+export type SwitchOutcome =
   /** Every rank replied and no switch is left unfinished; this round brings in no new map. */
   | { readonly kind: 'kept' }
   /** Every rank has confirmed the new map. */
@@ -39,7 +39,7 @@
   | { readonly kind: 'blocked'; readonly detail: string; readonly highest: number };
 
 /** State of the group as reported in the promises of all ranks. */
-export interface GroupView {
+export interface GroupSnapshot {
   /** Epoch of this round. */
   readonly epoch: number;
   readonly mapId: string;
@@ -48,4 +48,4 @@
 }
 
 /** Chooses the next map; undefined keeps the current one. */
-export type ChooseMap = (view: GroupView) => ExpertMap | undefined;
+export type ChooseMap = (view: GroupSnapshot) => ExpertMap | undefined;
--- a/src/core/limits/index.ts
+++ b/src/core/limits/index.ts
@@ -1,5 +1,5 @@
 export * from './stream-count-history.js';
 export * from './stream-limit-estimator.js';
-export * from './slot-queue.js';
+export * from './wait-queue.js';
 export * from './queue-terms.js';
 export * from './outage-detector.js';
--- a/src/core/limits/outage-detector.ts
+++ b/src/core/limits/outage-detector.ts
@@ -24,7 +24,7 @@
 };
 
 /** Detects outages of one service, as one entry observes them. Times are monotonic ms. */
-export class Outage {
+export class OutageDetector {
   private consecutiveFailures = 0;
   private firstFailureAtMs = 0;
   private lastProbeAtMs = Number.NEGATIVE_INFINITY;
@@ -32,33 +32,33 @@
   constructor(private readonly options: OutageOptions = DEFAULT_OUTAGE_OPTIONS) {}
 
   /** Notes that an endpoint works, which ends an outage. */
-  noteGood(): void {
+  noteSuccess(): void {
     this.consecutiveFailures = 0;
   }
 
   /** Notes an attempt whose failure means that the endpoint does not work. */
-  noteBad(nowMs: number): void {
+  noteFailure(nowMs: number): void {
     if (this.consecutiveFailures === 0) this.firstFailureAtMs = nowMs;
     this.consecutiveFailures += 1;
   }
 
   /** Whether there is an outage. */
-  isOut(nowMs: number): boolean {
+  isDown(nowMs: number): boolean {
     const { failures, minDurationMs } = this.options;
     return this.consecutiveFailures >= failures && nowMs - this.firstFailureAtMs >= minDurationMs;
   }
 
   /** Time since the first of the consecutive failures, ms; 0 without an outage. */
-  lastedMs(nowMs: number): number {
-    return this.isOut(nowMs) ? nowMs - this.firstFailureAtMs : 0;
+  downForMs(nowMs: number): number {
+    return this.isDown(nowMs) ? nowMs - this.firstFailureAtMs : 0;
   }
 
   /**
    * Whether to refuse a request now; false for one probe per interval.
    * @example if (outage.shouldRefuse(clock.nowMs())) return refuse();
    */
-  refuses(nowMs: number): boolean {
-    if (!this.isOut(nowMs)) return false;
+  shouldRefuse(nowMs: number): boolean {
+    if (!this.isDown(nowMs)) return false;
     if (nowMs - this.lastProbeAtMs < this.options.probeIntervalMs) return true;
     this.lastProbeAtMs = nowMs;
     return false;
--- a/src/core/limits/queue-terms.ts
+++ b/src/core/limits/queue-terms.ts
@@ -46,7 +46,7 @@
  * The terms of one caller.
  * @example queueTerms({ isReturning: false, priority: 1, targetMs: 500, leftMs: 8000 }).waitMs // 62.5
  */
-export function turnTerms(caller: QueuedCaller): QueueTerms {
+export function queueTerms(caller: QueuedCaller): QueueTerms {
   const { isReturning, priority, targetMs, leftMs } = caller;
   const share = isReturning ? RETURNING_TARGET_SHARE : FIRST_TRY_TARGET_SHARE;
   return {
--- a/src/core/limits/stream-count-history.ts
+++ b/src/core/limits/stream-count-history.ts
@@ -15,7 +15,7 @@
 }
 
 /** In-flight streams of one entry over the last seconds. Times are monotonic ms. */
-export class OwnCount {
+export class StreamCountHistory {
   private readonly samples: Sample[] = [];
 
   /** Notes a new count. */
@@ -31,7 +31,7 @@
    * The count at a time; 0 before the first sample.
    * @example history.countAt(clock.nowMs() - 600)
    */
-  at(atMs: number): number {
+  countAt(atMs: number): number {
     return this.samples.findLast((sample) => sample.sinceMs <= atMs)?.count ?? 0;
   }
 }
--- a/src/core/limits/stream-limit-estimator.ts
+++ b/src/core/limits/stream-limit-estimator.ts
@@ -77,7 +77,7 @@
 }
 
 /** The stream limit of one group, as estimated by one entry. Times are monotonic ms. */
-export class StreamLimit {
+export class StreamLimitEstimator {
   /** Mean ratio of observed pause to published step duration in each window, oldest first. */
   private readonly windowRatios: number[] = [];
   private ratioSum = 0;
@@ -110,7 +110,7 @@
    * Streams that the whole group may run if pauses of up to `allowedMs` are in time.
    * @example estimator.maxStreams(120, model) // 48
    */
-  streams(allowedMs: number, model: StepModel): number {
+  maxStreams(allowedMs: number, model: StepModel): number {
     const { initialPerRank, fallbackPerRank, minPerRank, targetPauseShare, ignoredWindows } =
       this.options;
     const maxPerRank = model.slots * this.options.maxSlotShare;
@@ -127,14 +127,14 @@
 }
 
 /** A count of the streams of a group, as known to one entry. */
-export interface GroupCount {
+export interface GroupStreamCount {
   /** Streams in flight in the whole group when they were counted. */
   readonly running: number;
   /** Age of the count, ms. */
   readonly ageMs: number;
   /** Streams of this entry at the time of the count, and now. */
-  readonly ownThen: number;
-  readonly own: number;
+  readonly ownAtCount: number;
+  readonly ownNow: number;
   /** Entries that send to the group. */
   readonly entries: number;
 }
@@ -159,7 +159,13 @@
  * slots.
  * @example estimateInFlight({ running: 200, ageMs: 1000, ownAtCount: 5, ownNow: 8, entries: 40 }) // 253
  */
-export function runningNow({ running, ageMs, ownThen, own, entries }: GroupCount): number {
+export function estimateInFlight({
+  running,
+  ageMs,
+  ownAtCount: ownThen,
+  ownNow: own,
+  entries,
+}: GroupStreamCount): number {
   const meanPerEntry = running / Math.max(1, entries);
   const rise = Math.max(0, own - Math.max(ownThen, meanPerEntry));
   const fall = Math.max(0, Math.min(ownThen, meanPerEntry) - own);
@@ -170,7 +176,7 @@
 }
 
 /** A count of the streams of a group and the limit on them. */
-export interface LimitedGroupCount extends GroupCount {
+export interface LimitedStreamCount extends GroupStreamCount {
   /** Streams that the whole group may run. */
   readonly limit: number;
 }
@@ -192,10 +198,10 @@
  * Slots of this entry: its share of the limit, and of a part of the free slots.
  * @example slotsForEntry({ limit: 48, running: 48, ageMs: 0, ownAtCount: 8, ownNow: 8, entries: 6 }) // 8
  */
-export function placesOf(load: LimitedGroupCount): number {
-  const running = runningNow(load);
+export function slotsForEntry(load: LimitedStreamCount): number {
+  const running = estimateInFlight(load);
   const evenShare = 1 / Math.max(1, load.entries);
-  const usageShare = running > 0 ? Math.min(1, load.own / running) : evenShare;
+  const usageShare = running > 0 ? Math.min(1, load.ownNow / running) : evenShare;
   const share = EVEN_SPLIT_SHARE * evenShare + (1 - EVEN_SPLIT_SHARE) * usageShare;
   const free = Math.max(0, load.limit - running);
   return Math.max(MIN_SLOTS, Math.round(share * (load.limit + FREE_SLOTS_SHARE * free)));
--- a/src/core/limits/slot-queue.ts
+++ b/src/core/limits/wait-queue.ts
@@ -16,7 +16,7 @@
 }
 
 /** Slots of one service at one entry. */
-export class TurnQueue {
+export class WaitQueue {
   private taken = 0;
   private readonly waiting: Waiter[] = [];
 
@@ -44,9 +44,9 @@
    * A slot that was taken must be returned with `release`. Requests with a lower order go first.
    * @example if (!(await queue.acquire(0, 60, signal))) return refuse();
    */
-  take(order: number, waitMs: number, signal: AbortSignal): Promise<boolean> {
+  acquire(order: number, waitMs: number, signal: AbortSignal): Promise<boolean> {
     // The capacity may have grown since the waiting requests were queued.
-    this.giveFree();
+    this.grantFreeSlots();
     const behind = this.waiting.findIndex((other) => other.order > order);
     const ahead = behind < 0 ? this.waiting.length : behind;
     if (this.taken < this.capacity()) {
@@ -63,7 +63,7 @@
    * need be.
    * @example if (queue.tryAcquire(false)) proceed();
    */
-  takeNow(force: boolean): boolean {
+  tryAcquire(force: boolean): boolean {
     if (!force && this.taken >= this.capacity()) return false;
     this.adjust(1);
     return true;
@@ -101,11 +101,11 @@
   /** Returns a slot, which goes to the first waiting request. */
   release(): void {
     this.adjust(-1);
-    this.giveFree();
+    this.grantFreeSlots();
   }
 
   /** Grants free slots to waiting requests; to be called when the capacity has grown. */
-  giveFree(): void {
+  grantFreeSlots(): void {
     while (this.taken < this.capacity()) {
       const next = this.waiting[0];
       if (!next) return;
--- a/src/core/placement/pack-placement.ts
+++ b/src/core/placement/pack-placement.ts
@@ -48,6 +48,10 @@
  * least loaded rank with a free slot (longest processing time first).
  * @example packPlacement([[5, 1, 1, 1]], 2, 3)
  */
-export function repack(popularity: Popularity, ranks: number, slotsPerRank: number): Placement {
+export function packPlacement(
+  popularity: Popularity,
+  ranks: number,
+  slotsPerRank: number,
+): Placement {
   return popularity.map((layer) => packLayer(layer, ranks, slotsPerRank));
 }
--- a/src/core/placement/popularity.ts
+++ b/src/core/placement/popularity.ts
@@ -45,7 +45,7 @@
  * applies the full factors.
  * @example applyDeclaredShifts([[10, 10]], [{ expert: 0, factor: 3 }], 0.5) // [[20, 10]]
  */
-export function withShift(
+export function applyDeclaredShifts(
   popularity: Popularity,
   shifts: readonly DeclaredShift[],
   confidence: number,
--- a/src/core/placement/round-plan.ts
+++ b/src/core/placement/round-plan.ts
@@ -11,16 +11,16 @@
   /** Maximum number of experts that a rank can hold in a layer. */
   readonly slotsPerRank: number;
   /** Maximum number of new experts for a rank, over all layers; a rank copies them sequentially. */
-  readonly mostNew: number;
+  readonly maxNewPerRank: number;
   /**
    * Maximum number of new experts for a rank in one layer; engines reject a map that exceeds it.
    */
-  readonly mostNewInLayer: number;
+  readonly maxNewPerRankAndLayer: number;
   /**
    * Minimum reduction of the summed largest loads per copied expert, as a fraction of the mean
    * load.
    */
-  readonly gainPerCopy: number;
+  readonly minGainPerCopy: number;
   /** Slowdown factor of each rank; 1 is normal speed. */
   readonly pace: readonly number[];
 }
@@ -69,7 +69,7 @@
   policy: RoundPolicy,
 ): RoundPlan {
   const { mean } = loadSums(current, popularity);
-  const rankBudgets = (current[0] ?? []).map(() => policy.mostNew);
+  const rankBudgets = (current[0] ?? []).map(() => policy.maxNewPerRank);
   const planners = current.map(
     (map, l) =>
       new LayerPlanner(
@@ -79,7 +79,7 @@
         policy.slotsPerRank,
         rankBudgets,
         policy.pace,
-        policy.mostNewInLayer,
+        policy.maxNewPerRankAndLayer,
       ),
   );
   const before = planners.reduce((sum, planner) => sum + planner.maxLoad, 0);
@@ -90,7 +90,7 @@
     skewAfter: mean > 0 ? before / mean : 1,
   };
   if (mean <= 0) return unchanged;
-  const minDropGain = policy.gainPerCopy * mean;
+  const minDropGain = policy.minGainPerCopy * mean;
   const next = planners.map((planner) => nextMove(planner, minDropGain));
   /** Best intermediate result: copies, summed largest loads, and changes applied in each layer. */
   let best = { copies: 0, load: before, steps: planners.map(() => 0) };
@@ -108,7 +108,7 @@
     }
     next[at] = nextMove(planner, minDropGain);
     load = planners.reduce((sum, p) => sum + p.maxLoad, 0);
-    const cost = load + copies * policy.gainPerCopy * mean;
+    const cost = load + copies * policy.minGainPerCopy * mean;
     if (cost >= bestCost) continue;
     bestCost = cost;
     best = { copies, load, steps: planners.map((p) => p.changeCount) };
--- a/src/core/placement/skew.ts
+++ b/src/core/placement/skew.ts
@@ -43,7 +43,7 @@
  * Counts the experts that ranks have to fetch to change from one placement to another.
  * @example countFetchedExperts([[[0], [1]]], [[[1], [1]]]) // 1
  */
-export function fetchedExperts(from: Placement, to: Placement): number {
+export function countFetchedExperts(from: Placement, to: Placement): number {
   let count = 0;
   to.forEach((layer, l) =>
     layer.forEach((rank, r) => {
--- a/src/core/published/one-relay.ts
+++ b/src/core/published/one-relay.ts
@@ -168,7 +168,7 @@
 
   /** What is known of crashes counts whatever else of the news is of no use. */
   private takeCrashes({ crashes, crashVersion = 0 }: PublishedNews): void {
-    if (crashes) this.parts.crashes?.take(crashes);
+    if (crashes) this.parts.crashes?.merge(crashes);
     this.crashesHeard = crashVersion;
   }
 
--- a/src/core/published/relay.ts
+++ b/src/core/published/relay.ts
@@ -146,7 +146,7 @@
     if (!crashes || ask.crashesHeard === undefined) return {};
     const news = { crashVersion: crashes.version };
     if (!this.lacksCrashes(ask)) return news;
-    return { ...news, crashes: crashes.newsSince(this.crashesHeard(ask)) };
+    return { ...news, crashes: crashes.deltaSince(this.crashesHeard(ask)) };
   }
 
   /** What an asker has heard of limits; what it heard of another life of this daemon means nothing. */
--- a/src/daemon/entry.ts
+++ b/src/daemon/entry.ts
@@ -6,7 +6,7 @@
   publishedConfig,
   publishedEndpoints,
 } from '../caller-api/index.js';
-import { KnownLimits, ShareLimiter, type Sharers } from '../core/backpressure/index.js';
+import { KnownLimits, ShareLimiter, type LimitPeers } from '../core/backpressure/index.js';
 import { SuspensionClock } from '../core/clock/index.js';
 import { asId } from '../core/ids/index.js';
 import { PublishedState, type CallerLimits } from '../core/published/index.js';
@@ -35,11 +35,11 @@
 }
 
 /** The live entries of the list share the limits that endpoints name; each keeps what it was told itself. */
-function sharersOf(ctx: DaemonContext): Sharers {
+function sharersOf(ctx: DaemonContext): LimitPeers {
   const entries = ctx.view().all.filter((i) => i.role === 'entry' && i.state === 'live');
   const names = entries.map((i) => i.instance).sort();
   const place = names.indexOf(ctx.self);
-  return { place: place < 0 ? undefined : place, count: Math.max(1, names.length) };
+  return { index: place < 0 ? undefined : place, count: Math.max(1, names.length) };
 }
 
 /** Takes each document and list that the feed accepted into the gateway's state. */
@@ -83,7 +83,7 @@
   const gatewayCtx = createContext({
     settings: {
       // The feed takes no document back, and its keys need no proof of freshness.
-      keyProofMs: Number.POSITIVE_INFINITY,
+      keyFreshnessMs: Number.POSITIVE_INFINITY,
       configApplyMs: Number.POSITIVE_INFINITY,
       bodyMs: settings.limits.bodyMs,
       parserHeaderBytes: settings.limits.headerBytes,
@@ -96,8 +96,8 @@
     clock,
     ageClock,
     // Daemons of this interface have no relays; each keeps what it has seen itself.
-    tellCrashes: () => undefined,
-    tellLeaving: () => undefined,
+    broadcastCrashes: () => undefined,
+    broadcastLeaving: () => undefined,
     limits,
     limiterOf: (endpoint) =>
       new ShareLimiter(ageClock, ctx.random, () => shareOf(sharing, endpoint)),
@@ -105,9 +105,9 @@
     log: decisions.watch(ctx.log),
     metrics,
     dataCentre: asId(settings.dataCentre),
-    sightOf: () => undefined,
-    entriesKnown: () => 0,
-    groupSize: () => undefined,
+    statusOf: () => undefined,
+    knownEntries: () => 0,
+    groupLoad: () => undefined,
     groupOf: () => undefined,
   });
   follow(ctx, state);
--- a/src/gateway/active-request.ts
+++ b/src/gateway/active-request.ts
@@ -3,7 +3,7 @@
 import type { EndpointId } from '../core/ids/index.js';
 import {
   BUSY_RETRY_S,
-  FINAL_ANSWER_MS,
+  FINAL_RESPONSE_MARGIN_MS,
   MIN_ATTEMPT_TIME_MS,
   OUTAGE_RETRY_S,
   BACKOFF_RETRY_JITTER_S,
@@ -12,7 +12,7 @@
 import type { EndpointState } from './endpoints.js';
 import type { Refusal } from './refuse.js';
 import type { StreamProgress } from './relay-stream.js';
-import type { GroupTurns } from './service-groups.js';
+import type { GroupQueue } from './service-groups.js';
 import type { ServiceState } from './service-state.js';
 import type { AttemptFault, GatewayRequest } from './types.js';
 
@@ -22,7 +22,7 @@
 const NOT_RUN_FAULTS: ReadonlySet<AttemptFault['kind']> = new Set(['not-run', 'resting']);
 
 /** Summary of one request, for its log line. */
-export interface RequestNote {
+export interface RequestSummary {
   service: string;
   /** Endpoints tried, in order, each with its status or fault. */
   tries: string[];
@@ -35,7 +35,7 @@
 }
 
 /** Outcome of a request. A refusal has yet to be written to the caller. */
-export type RequestEnd =
+export type RequestOutcome =
   | { readonly kind: 'answered'; readonly status: number }
   | { readonly kind: 'gone' }
   /** The connection is closed inside a stream, so that the response cannot look complete. */
@@ -47,7 +47,7 @@
   readonly ctx: GatewayContext;
   readonly request: GatewayRequest;
   readonly service: ServiceState;
-  readonly summary: RequestNote;
+  readonly summary: RequestSummary;
   readonly tried: Set<EndpointId>;
   readonly progress: StreamProgress;
   /** Whether any attempt may have run the request. */
@@ -56,12 +56,12 @@
   /** Whether a rate-limit token was denied for this request. */
   isRateLimited: boolean;
   /** The group in which this request holds a slot. */
-  group: GroupTurns | undefined;
+  group: GroupQueue | undefined;
 }
 
 /** Time until the deadline, ms, less the time reserved for writing the final response. */
 export function remainingMs(active: ActiveRequest): number {
-  return active.request.leftMs() - FINAL_ANSWER_MS;
+  return active.request.remainingMs() - FINAL_RESPONSE_MARGIN_MS;
 }
 
 /** Random Retry-After within a range, s; spreads the retries of callers refused together. */
@@ -95,7 +95,7 @@
   detail: string,
   retryAfterS?: number,
   close = false,
-): RequestEnd {
+): RequestOutcome {
   return { kind: 'refused', refusal: { reason, detail, retryAfterS, close } };
 }
 
@@ -104,9 +104,9 @@
  * backoff, Retry-After is the end of the first backoff plus jitter. Under a rate limit other entries
  * may still have tokens, so the usual range is used.
  */
-function refuseForBackpressure(active: ActiveRequest, opening: Opening): RequestEnd {
+function refuseForBackpressure(active: ActiveRequest, opening: Opening): RequestOutcome {
   const { ctx } = active;
-  const untilS = ctx.endpoints.untilMs(opening) / MS_PER_S;
+  const untilS = ctx.endpoints.remainingMs(opening) / MS_PER_S;
   if (opening.why === 'limit')
     return refuseWith(
       'limited',
@@ -125,7 +125,7 @@
 }
 
 /** The outcome of a request for which no further attempt is allowed. */
-export function failureOutcome(active: ActiveRequest): RequestEnd {
+export function failureOutcome(active: ActiveRequest): RequestOutcome {
   const detail = active.lastFault?.detail ?? 'no endpoint is available';
   if (active.progress.events > 0) return { kind: 'cut', detail };
   if (active.mayHaveRun) {
@@ -133,7 +133,7 @@
     return { kind: 'refused', refusal: { reason, detail } };
   }
   // A retry that is not expected would be mistaken for a new caller with a short deadline.
-  active.service.groups?.callers.recordRefusal(active.ctx.ageClock.nowMs());
+  active.service.groups?.returningCallers.recordRefusal(active.ctx.ageClock.nowMs());
   const opening = active.ctx.endpoints.firstOpening(active.service.id);
   if (opening?.why) return refuseForBackpressure(active, opening);
   if (opening && active.isRateLimited)
@@ -160,8 +160,8 @@
   if (active.request.gone.aborted || fault.kind === 'slow') return;
   // An endpoint that requests a backoff is alive, and names the time of the next attempt itself.
   if (fault.kind !== 'resting') {
-    active.group?.turns.outage.noteBad(active.ctx.ageClock.nowMs());
-    active.ctx.endpoints.noteBad(target, fault.detail);
+    active.group?.slotQueue.outage.noteFailure(active.ctx.ageClock.nowMs());
+    active.ctx.endpoints.noteFailure(target, fault.detail);
   }
   active.ctx.metrics.count('attempt_faults_total', {
     service: active.service.id,
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -2,14 +2,14 @@
 import type { Dispatcher } from 'undici';
 import { errorText } from '../core/errors/index.js';
 import { Err, Ok, type Result } from '../core/result/index.js';
-import { wasNotSent, withStart } from './connect.js';
+import { wasNotSent, withStartCallback } from './connect.js';
 import { STALLED_CONNECTION_MS } from './consts.js';
 import type { EndpointState } from './endpoints.js';
-import type { AnswerHead, AttemptFault, GatewayRequest, CallerInterface } from './types.js';
+import type { ResponseHead, AttemptFault, GatewayRequest, CallerApi } from './types.js';
 
 /** A response whose headers have been checked; its body has yet to be read. */
 export interface AttemptResponse {
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   readonly body: Dispatcher.ResponseData['body'];
   /** Closes the connection: late bytes on it must not be taken for another response. */
   readonly close: () => void;
@@ -19,7 +19,7 @@
 
 /** Options of one attempt. */
 export interface AttemptOptions {
-  readonly callers: CallerInterface;
+  readonly callers: CallerApi;
   readonly request: GatewayRequest;
   readonly target: EndpointState;
   /** Remaining time, ms. */
@@ -28,7 +28,7 @@
   /** Timeout of the response headers, ms. */
   readonly responseTimeoutMs: number;
   /** Called with the response headers before they are checked. */
-  readonly onHead: (head: AnswerHead) => void;
+  readonly onHead: (head: ResponseHead) => void;
 }
 
 function attemptFault(kind: AttemptFault['kind'], detail: string): Result<never, AttemptFault> {
@@ -37,11 +37,11 @@
 
 /** Checks the response headers before any byte of the body is used. */
 function checkHead(
-  head: AnswerHead,
+  head: ResponseHead,
   request: GatewayRequest,
   close: () => void,
 ): AttemptFault | undefined {
-  const { restMs } = head.asks;
+  const { backoffMs: restMs } = head.asks;
   if (head.isNotRun && restMs !== undefined)
     return { kind: 'resting', detail: `endpoint answered ${head.status}, backoff of ${restMs} ms` };
   if (head.isNotRun) return { kind: 'not-run', detail: `endpoint answered ${head.status}` };
@@ -60,9 +60,9 @@
   return undefined;
 }
 
-function upstreamPathOf(callerApi: CallerInterface, request: GatewayRequest): string {
+function upstreamPathOf(callerApi: CallerApi, request: GatewayRequest): string {
   const url = request.req.url ?? '/';
-  return callerApi.pathAt?.(url) ?? url;
+  return callerApi.upstreamPath?.(url) ?? url;
 }
 
 /**
@@ -92,9 +92,11 @@
     isBackingOff = true;
     close();
   };
-  target.waiting.add(cancelForBackoff);
+  target.cancelUnsent.add(cancelForBackoff);
   try {
-    const res = await withStart(pool, () => target.waiting.delete(cancelForBackoff)).request({
+    const res = await withStartCallback(pool, () =>
+      target.cancelUnsent.delete(cancelForBackoff),
+    ).request({
       method: request.req.method as Dispatcher.HttpMethod,
       path: upstreamPathOf(callerApi, request),
       headers: callerApi.writeAttempt(request.req.headers, {
@@ -109,7 +111,7 @@
     });
     // An unhandled error of an unread body would end the process.
     res.body.on('error', () => undefined);
-    const head = callerApi.readAnswer(res.statusCode, res.headers);
+    const head = callerApi.readResponse(res.statusCode, res.headers);
     options.onHead(head);
     const headFault = checkHead(head, request, close);
     if (!headFault) return Ok({ head, body: res.body, close, closeStalled });
@@ -128,7 +130,7 @@
       );
     return attemptFault(wasNotSent(err) ? 'not-run' : 'broke', errorText(err));
   } finally {
-    target.waiting.delete(cancelForBackoff);
+    target.cancelUnsent.delete(cancelForBackoff);
     clearTimeout(timer);
   }
 }
--- a/src/gateway/attempts.ts
+++ b/src/gateway/attempts.ts
@@ -2,7 +2,7 @@
 import { recordSignals } from './backpressure-signals.js';
 import { sendAttempt } from './attempt.js';
 import { acquireEndpoint, chooseOtherGroup } from './choose-endpoint.js';
-import { ELSEWHERE_RETRY_S, RETRY_TIMEOUT_FACTOR, STREAM_IDLE_TIMEOUT_MS } from './consts.js';
+import { OTHER_ENTRY_RETRY_S, RETRY_TIMEOUT_FACTOR, STREAM_IDLE_TIMEOUT_MS } from './consts.js';
 import { deliverResponse, MIN_SERVER_ERROR_STATUS } from './deliver.js';
 import type { EndpointState } from './endpoints.js';
 import {
@@ -12,7 +12,7 @@
   mayRetry,
   recordFault,
   refuseWith,
-  type RequestEnd,
+  type RequestOutcome,
   type ActiveRequest,
 } from './active-request.js';
 
@@ -31,7 +31,7 @@
 async function runAttempt(
   active: ActiveRequest,
   target: EndpointState,
-): Promise<RequestEnd | undefined> {
+): Promise<RequestOutcome | undefined> {
   const { ctx, request, progress } = active;
   active.tried.add(target.endpoint.id);
   const eventsBefore = progress.events;
@@ -73,13 +73,13 @@
   const { group } = active;
   const next = chooseOtherGroup(active);
   if (!group || !next) return;
-  if (!next.turns.queue.takeNow(active.progress.events > 0)) return;
-  group.turns.queue.release();
+  if (!next.slotQueue.queue.tryAcquire(active.progress.events > 0)) return;
+  group.slotQueue.queue.release();
   active.group = next;
 }
 
 /** Refuses a request that crashes endpoints, without claiming "not run" if it may have run. */
-export function refuseCrashingRequest(active: ActiveRequest): RequestEnd {
+export function refuseCrashingRequest(active: ActiveRequest): RequestOutcome {
   if (active.mayHaveRun) return failureOutcome(active);
   return refuseWith(
     'crashes-endpoints',
@@ -91,7 +91,7 @@
  * Tries one endpoint after the other, as the route and the retry budget allow.
  * @example const outcome = await runAttempts(active);
  */
-export async function runAttempts(active: ActiveRequest): Promise<RequestEnd> {
+export async function runAttempts(active: ActiveRequest): Promise<RequestOutcome> {
   const { ctx, request, service } = active;
   service.budget.deposit();
   for (;;) {
@@ -99,13 +99,13 @@
     const target = await acquireEndpoint(active);
     if (request.gone.aborted) return { kind: 'gone' };
     if (!target) return failureOutcome(active);
-    if (!request.route.isPublic && !ctx.keysProved()) {
+    if (!request.route.isPublic && !ctx.areKeysConfirmed()) {
       // The freshness check may have expired while the request was queued or attempted.
       if (active.mayHaveRun) return failureOutcome(active);
       return refuseWith(
         'proof-old',
         'the freshness check of the configuration expired before the request was sent',
-        ELSEWHERE_RETRY_S,
+        OTHER_ENTRY_RETRY_S,
       );
     }
     const outcome = await runAttempt(active, target);
--- a/src/gateway/backpressure-signals.ts
+++ b/src/gateway/backpressure-signals.ts
@@ -1,11 +1,11 @@
 /** Records backpressure signals of endpoints, from their responses and from other entries. */
-import type { AnswerAsks, AskName } from '../core/backpressure/index.js';
+import type { BackpressureSignals, SignalName } from '../core/backpressure/index.js';
 import { asId } from '../core/ids/index.js';
 import type { LogFields } from '../core/logging/index.js';
 import type { AskNews } from '../generated/messages.types.js';
 import type { GatewayContext } from './context.js';
 import type { EndpointState } from './endpoints.js';
-import type { AnswerHead } from './types.js';
+import type { ResponseHead } from './types.js';
 import type { ActiveRequest } from './active-request.js';
 
 /** Status of a server that is not the endpoint that the request was addressed to. */
@@ -15,7 +15,7 @@
 function recordUnreadable(
   active: ActiveRequest,
   target: EndpointState,
-  { unreadable }: AnswerAsks,
+  { unreadable }: BackpressureSignals,
 ): void {
   const { ctx, service } = active;
   for (const what of unreadable) {
@@ -33,13 +33,13 @@
   ctx.log.info(event, { request: request.id, endpoint: endpoint.id, ...fields });
 }
 
-function countSignal({ ctx, service }: ActiveRequest, what: AskName): void {
+function countSignal({ ctx, service }: ActiveRequest, what: SignalName): void {
   ctx.metrics.count('endpoint_asks_total', { service: service.id, what });
 }
 
 function recordBackoff(active: ActiveRequest, target: EndpointState, restMs: number): void {
   countSignal(active, 'rest');
-  active.ctx.endpoints.noteRest(target, restMs);
+  active.ctx.endpoints.noteBackoff(target, restMs);
   logSignal(active, target, 'endpoint.resting', { restMs });
 }
 
@@ -50,7 +50,7 @@
   countSignal(active, 'leaving');
   if (!ctx.state.noteLeaving(target.endpoint)) return;
   logSignal(active, target, 'endpoint.leaving', { source: 'answer' });
-  ctx.tellLeaving({ endpoint: id, startedAtMs });
+  ctx.broadcastLeaving({ endpoint: id, startedAtMs });
 }
 
 function recordLimit(active: ActiveRequest, target: EndpointState, limitPerS: number): void {
@@ -73,12 +73,12 @@
 export function recordSignals(
   active: ActiveRequest,
   target: EndpointState,
-  head: AnswerHead,
+  head: ResponseHead,
   sentAtMs: number,
 ): void {
   // 421: the address now belongs to another endpoint, whose headers must be ignored.
   if (head.status === STATUS_MISDIRECTED_REQUEST) return;
-  const { restMs, isLeaving, limitPerS } = head.asks;
+  const { backoffMs: restMs, isLeaving, limitPerS } = head.asks;
   recordUnreadable(active, target, head.asks);
   if (restMs !== undefined) recordBackoff(active, target, restMs);
   if (isLeaving) recordLeaving(active, target);
@@ -90,7 +90,7 @@
  * Applies another entry's report of leaving endpoints; returns whether any of them was unknown.
  * @example if (applyLeaving(ctx, update)) forward(update);
  */
-export function takeLeaving(
+export function applyLeaving(
   { state, log }: Pick<GatewayContext, 'state' | 'log'>,
   { from, leaving }: Pick<AskNews, 'from' | 'leaving'>,
 ): boolean {
--- a/src/gateway/choose-endpoint.ts
+++ b/src/gateway/choose-endpoint.ts
@@ -3,7 +3,7 @@
 import type { PublishedEndpoint } from '../core/published/index.js';
 import { MAX_TOKEN_WAIT_MS } from './consts.js';
 import type { EndpointState } from './endpoints.js';
-import type { GroupTurns } from './service-groups.js';
+import type { GroupQueue } from './service-groups.js';
 import type { ActiveRequest } from './active-request.js';
 
 const NO_ENDPOINTS: ReadonlySet<EndpointId> = new Set();
@@ -18,7 +18,7 @@
 ): EndpointState | undefined {
   const { ctx, group, service, tried } = active;
   const isInGroup = (endpoint: PublishedEndpoint): boolean =>
-    !group || (service.groups?.isIn(endpoint, group.id) ?? true);
+    !group || (service.groups?.contains(endpoint, group.id) ?? true);
   return ctx.endpoints.choose(
     service.id,
     tried,
@@ -61,9 +61,9 @@
   group,
   service,
   tried,
-}: ActiveRequest): GroupTurns | undefined {
+}: ActiveRequest): GroupQueue | undefined {
   const next = group && service.groups?.choose(tried, group.id);
-  return next?.turns.outage.isOut(ctx.ageClock.nowMs()) ? undefined : next;
+  return next?.slotQueue.outage.isDown(ctx.ageClock.nowMs()) ? undefined : next;
 }
 
 /**
--- a/src/gateway/connect.ts
+++ b/src/gateway/connect.ts
@@ -1,7 +1,7 @@
 /** Connections to endpoints, and classification of connection errors. */
 import type { Socket } from 'node:net';
 import { buildConnector, type Dispatcher } from 'undici';
-import { CONNECT_MS } from './consts.js';
+import { CONNECT_TIMEOUT_MS } from './consts.js';
 
 /** Error code of undici for a connection that broke during a request. */
 const BROKEN_CONNECTION = 'UND_ERR_SOCKET';
@@ -32,7 +32,11 @@
 export function createEndpointConnector(): buildConnector.connector {
   // undici passes unknown options on to net.connect, although its types omit them.
   const socketOptions = { highWaterMark: READ_AHEAD_BYTES } as buildConnector.BuildOptions;
-  const connect = buildConnector({ ...socketOptions, timeout: CONNECT_MS, keepAlive: true });
+  const connect = buildConnector({
+    ...socketOptions,
+    timeout: CONNECT_TIMEOUT_MS,
+    keepAlive: true,
+  });
   return (options, callback) =>
     connect(options, (...result) => {
       const socket = result[1] as Socket | null;
@@ -67,7 +71,7 @@
  * connection, and no byte of it has left this process.
  * @example await withStartCallback(pool, () => (isOut = true)).request(options);
  */
-export function withStart(pool: Dispatcher, onStart: () => void): Dispatcher {
+export function withStartCallback(pool: Dispatcher, onStart: () => void): Dispatcher {
   return pool.compose(
     (dispatch) => (options, handler) => dispatch(options, notifyingHandler(handler, onStart)),
   );
--- a/src/gateway/consts.ts
+++ b/src/gateway/consts.ts
@@ -1,20 +1,20 @@
 /** Timeouts, limits and retry delays of the gateway. */
 
 /** Timeout of opening a connection to an endpoint, ms. */
-export const CONNECT_MS = 400;
+export const CONNECT_TIMEOUT_MS = 400;
 /** Idle timeout of a connection to an endpoint that names none itself, ms. */
-export const IDLE_CONNECTION_MS = 4000;
+export const IDLE_CONNECTION_TIMEOUT_MS = 4000;
 /** Time after which no further rate-limit token is requested, ms; refuses callers early. */
 export const MAX_TOKEN_WAIT_MS = 100;
 /** Maximum number of connections from one entry to one endpoint. */
 export const MAX_CONNECTIONS = 32;
 /** Number of entries assumed to connect to the same endpoint. */
-export const CONNECTION_SHARERS = 12;
+export const ASSUMED_CONNECTION_PEERS = 12;
 
 /** Deadline of requests that name none, ms. */
 export const DEFAULT_DEADLINE_MS = 60_000;
 /** Time reserved before the deadline for writing the final response, ms. */
-export const FINAL_ANSWER_MS = 20;
+export const FINAL_RESPONSE_MARGIN_MS = 20;
 /** Remaining time below which no further attempt is made, ms. */
 export const MIN_ATTEMPT_TIME_MS = 60;
 /** Multiple of the target latency after which a repeatable request is retried elsewhere. */
@@ -30,7 +30,7 @@
  * Safety margin of the time for which keys are accepted without a new freshness check, ms: covers a
  * watch that stalled before its history was dropped, and requests in flight.
  */
-export const KEY_PROOF_MARGIN_MS = 1500;
+export const KEY_FRESHNESS_MARGIN_MS = 1500;
 
 /** Retry-After range when saturated, s; randomised to spread retries. */
 export const BUSY_RETRY_S = { min: 1.0, max: 2.5 } as const;
@@ -44,10 +44,10 @@
 export const BACKOFF_RETRY_JITTER_S = 0.5;
 
 /** Retry-After if another entry can serve the request immediately, s. */
-export const ELSEWHERE_RETRY_S = 0.05;
+export const OTHER_ENTRY_RETRY_S = 0.05;
 
 /** Minimum number of entries assumed to share the retry budget; a group may report more. */
-export const RETRY_SHARERS = 48;
+export const ASSUMED_RETRY_PEERS = 48;
 /** Fraction of the retry share that is used; the rest covers unaligned windows of the entries. */
 export const RETRY_SHARE_USED = 0.7;
 
@@ -57,6 +57,6 @@
  */
 export const STOP_SERVING_MS = 2500;
 /** Time before SIGKILL at which requests in flight are aborted, ms. */
-export const STOP_CUT_MS = 700;
+export const STOP_ABORT_MS = 700;
 /** Polling period of a stopping entry, ms. */
 export const STOP_POLL_MS = 50;
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -3,45 +3,45 @@
 import type { Clock } from '../core/clock/index.js';
 import type { EngineInfo, PublishedEndpoint, ServiceId } from '../core/published/index.js';
 import { RetryBudget } from '../core/retry/index.js';
-import { KEY_PROOF_MARGIN_MS, RETRY_SHARERS, RETRY_SHARE_USED } from './consts.js';
-import { CrashWatch } from './crash-detector.js';
+import { KEY_FRESHNESS_MARGIN_MS, ASSUMED_RETRY_PEERS, RETRY_SHARE_USED } from './consts.js';
+import { CrashDetector } from './crash-detector.js';
 import { Endpoints, type EndpointsDeps } from './endpoints.js';
 import type { GroupId } from '../core/ids/index.js';
 import type { CrashNews, EndpointProcess } from '../generated/messages.types.js';
 import type { GroupLoad } from './group-status.js';
 import { ServiceGroups } from './service-groups.js';
 import type { ServiceState } from './service-state.js';
-import type { CallerInterface, GatewaySettings } from './types.js';
+import type { CallerApi, GatewaySettings } from './types.js';
 
 /** Dependencies of a gateway. */
-export interface GatewayParts extends EndpointsDeps {
+export interface GatewayDeps extends EndpointsDeps {
   readonly settings: GatewaySettings;
   /** Rate limits announced by endpoints. */
   readonly limits: KnownLimits;
   /** Clock for ages and deadlines; also advances while the machine is suspended. */
   readonly ageClock: Clock;
   /** Sends other entries the requests that crashed endpoints here. */
-  readonly tellCrashes: (update: CrashNews) => void;
+  readonly broadcastCrashes: (update: CrashNews) => void;
   /** Sends other entries an endpoint's announcement that it is leaving. */
-  readonly tellLeaving: (endpoint: EndpointProcess) => void;
+  readonly broadcastLeaving: (endpoint: EndpointProcess) => void;
   /** Returns the retries allowed per request, over all entries; read at each request. */
   readonly retryShare: () => number;
-  readonly callers: CallerInterface;
+  readonly callers: CallerApi;
   /** Returns the number of entries known to send to the same groups; 0 while unknown. */
-  readonly entriesKnown: () => number;
+  readonly knownEntries: () => number;
   /** Returns the latest load of a group; undefined if it is unknown or too old. */
-  readonly groupSize: (group: GroupId) => GroupLoad | undefined;
+  readonly groupLoad: (group: GroupId) => GroupLoad | undefined;
   /** Returns the group of a model engine; undefined while it is unknown. */
   readonly groupOf: (endpoint: PublishedEndpoint) => GroupId | undefined;
 }
 
 /** Dependencies and state shared by all requests of one gateway. */
-export interface GatewayContext extends GatewayParts {
-  readonly crashes: CrashWatch;
+export interface GatewayContext extends GatewayDeps {
+  readonly crashes: CrashDetector;
   readonly endpoints: Endpoints;
   readonly serviceOf: (id: ServiceId) => ServiceState;
   /** Whether the configuration was confirmed as current recently enough to honour keys. */
-  readonly keysProved: () => boolean;
+  readonly areKeysConfirmed: () => boolean;
 }
 
 /** Minimum extra retries of an entry: a fault that only this entry sees must not fail its requests. */
@@ -54,14 +54,14 @@
  * @example retryExtra(448, 137) // 3.27
  */
 export function retryExtra(extra: number, entriesKnown: number): number {
-  return Math.max(MIN_RETRY_EXTRA, extra / Math.max(RETRY_SHARERS, entriesKnown));
+  return Math.max(MIN_RETRY_EXTRA, extra / Math.max(ASSUMED_RETRY_PEERS, entriesKnown));
 }
 
 /**
  * Creates the endpoint table, crash watch and per-service state of a gateway.
  * @example const ctx = createContext(deps);
  */
-export function createContext(deps: GatewayParts): GatewayContext {
+export function createContext(deps: GatewayDeps): GatewayContext {
   const { settings, state, ageClock } = deps;
   const services = new Map<ServiceId, ServiceState>();
   // Backoff times and limits of endpoints keep running while this machine is suspended.
@@ -72,7 +72,7 @@
       clock: ageClock,
       windowMs: settings.retryWindowMs,
       share: () => deps.retryShare() * RETRY_SHARE_USED,
-      extra: () => retryExtra(settings.retryExtra, deps.entriesKnown()),
+      extra: () => retryExtra(settings.retryExtra, deps.knownEntries()),
     });
     return {
       id,
@@ -85,7 +85,7 @@
           engine,
           endpoints: () => state.workingOf(id),
           groupOf: deps.groupOf,
-          loadOf: deps.groupSize,
+          loadOf: deps.groupLoad,
           isAvailable: (endpoint) => endpoints.isAvailable(endpoint),
         }),
     };
@@ -93,9 +93,9 @@
   return {
     ...deps,
     endpoints,
-    crashes: new CrashWatch({ ...deps, clock: ageClock, tell: deps.tellCrashes }),
-    keysProved: () =>
-      state.proofAgeMs(ageClock.nowMs()) <= settings.keyProofMs - KEY_PROOF_MARGIN_MS,
+    crashes: new CrashDetector({ ...deps, clock: ageClock, publish: deps.broadcastCrashes }),
+    areKeysConfirmed: () =>
+      state.proofAgeMs(ageClock.nowMs()) <= settings.keyFreshnessMs - KEY_FRESHNESS_MARGIN_MS,
     serviceOf: (id) => {
       const known = services.get(id);
       if (known) return known;
--- a/src/gateway/crash-detector.ts
+++ b/src/gateway/crash-detector.ts
@@ -24,7 +24,7 @@
   readonly log: Log;
   readonly metrics: Metrics;
   /** Publishes crash updates to other entries. */
-  readonly tell: (update: CrashNews) => void;
+  readonly publish: (update: CrashNews) => void;
 }
 
 /** Whether connections to an address are refused. */
@@ -43,7 +43,7 @@
 }
 
 /** Collects evidence of requests that crash endpoints, and decides which ones to refuse. */
-export class CrashWatch {
+export class CrashDetector {
   readonly evidence: CrashEvidence;
   /** Cached, as requests are checked before each attempt and at their end; bodies do not change. */
   private readonly fingerprints = new WeakMap<GatewayRequest, Fingerprint>();
@@ -65,7 +65,7 @@
   recordSuccess(request: GatewayRequest): void {
     if (this.evidence.isEmpty) return;
     const fingerprint = this.fingerprintFor(request);
-    if (this.evidence.noteGoodEnd(fingerprint))
+    if (this.evidence.noteSuccess(fingerprint))
       this.logAndPublish('crash.cleared', request, fingerprint);
   }
 
@@ -98,7 +98,7 @@
     fingerprint: Fingerprint,
     endpoint?: PublishedEndpoint,
   ): void {
-    const { log, tell: publish } = this.deps;
+    const { log, publish } = this.deps;
     const isRefusedNow = this.evidence.isRefused(fingerprint);
     log.warn(event, {
       request: request.id,
@@ -106,6 +106,6 @@
       endpoint: endpoint?.id,
       refused: isRefusedNow,
     });
-    publish(this.evidence.newsSince(this.evidence.version - 1));
+    publish(this.evidence.deltaSince(this.evidence.version - 1));
   }
 }
--- a/src/gateway/deliver.ts
+++ b/src/gateway/deliver.ts
@@ -10,7 +10,7 @@
   remainingMs,
   mayRetry,
   recordFault,
-  type RequestEnd,
+  type RequestOutcome,
   type ActiveRequest,
 } from './active-request.js';
 
@@ -23,7 +23,7 @@
   active: ActiveRequest,
   target: EndpointState,
   response: AttemptResponse,
-): Promise<RequestEnd | undefined> {
+): Promise<RequestOutcome | undefined> {
   const { request } = active;
   const { status } = response.head;
   const body = await readFullResponse(response, remainingMs(active));
@@ -50,7 +50,7 @@
   target: EndpointState,
   response: AttemptResponse,
   sentAtMs: number,
-): Promise<RequestEnd | undefined> {
+): Promise<RequestOutcome | undefined> {
   const { ctx, request, progress, service } = active;
   const { status } = response.head;
   if (status < 200 || status >= 300) return deliverBuffered(active, target, response);
@@ -69,10 +69,10 @@
       onFirstEvent: () => {
         const nowMs = ctx.clock.nowMs();
         active.summary.firstMs ??= nowMs - request.arrivedAtMs;
-        ctx.endpoints.noteGood(target, sentAtMs);
-        active.group?.turns.outage.noteGood();
+        ctx.endpoints.noteSuccess(target, sentAtMs);
+        active.group?.slotQueue.outage.noteSuccess();
       },
-      onPause: (pauseMs) => active.group?.turns.notePause(pauseMs),
+      onPause: (pauseMs) => active.group?.slotQueue.notePause(pauseMs),
     },
     response,
   );
@@ -92,11 +92,11 @@
   target: EndpointState,
   response: AttemptResponse,
   sentAtMs: number,
-): Promise<RequestEnd | undefined> {
+): Promise<RequestOutcome | undefined> {
   const { ctx, request } = active;
   if (request.route.kind === 'stream') return deliverStream(active, target, response, sentAtMs);
   const outcome = await deliverBuffered(active, target, response);
   if (outcome?.kind === 'answered' && outcome.status < MIN_SERVER_ERROR_STATUS)
-    ctx.endpoints.noteGood(target, sentAtMs);
+    ctx.endpoints.noteSuccess(target, sentAtMs);
   return outcome;
 }
--- a/src/gateway/endpoints.ts
+++ b/src/gateway/endpoints.ts
@@ -13,8 +13,8 @@
 import { EndpointHealth } from '../core/routing/index.js';
 import { FreshPool } from '../runtime/fresh-pool.js';
 import { createEndpointConnector } from './connect.js';
-import type { EngineSight } from './group-status.js';
-import { CONNECTION_SHARERS, IDLE_CONNECTION_MS, MAX_CONNECTIONS } from './consts.js';
+import type { EngineStatus } from './group-status.js';
+import { ASSUMED_CONNECTION_PEERS, IDLE_CONNECTION_TIMEOUT_MS, MAX_CONNECTIONS } from './consts.js';
 
 /** Weight of the newest outcome in an endpoint's moving average of failures. */
 const FAILURE_EWMA_WEIGHT = 0.15;
@@ -43,7 +43,7 @@
  */
 const FULL_EXTRA_LOAD = 4;
 
-function isSlowEngine(status: EngineSight | undefined): boolean {
+function isSlowEngine(status: EngineStatus | undefined): boolean {
   return status !== undefined && status.pace > SLOW_PACE;
 }
 
@@ -51,7 +51,7 @@
   return a.startedAtMs === b.startedAtMs && a.address === b.address;
 }
 
-function slownessOf(status: EngineSight): number {
+function slownessOf(status: EngineStatus): number {
   return isSlowEngine(status) ? SLOW_PENALTY * status.pace : 1;
 }
 
@@ -63,7 +63,7 @@
   /** Admits requests according to the endpoint's backpressure signals. */
   readonly gate: EndpointGate;
   /** Cancels each attempt that waits for a connection and is not sent yet. */
-  readonly waiting: Set<() => void>;
+  readonly cancelUnsent: Set<() => void>;
   /** Requests in flight. */
   running: number;
   /** Exponential moving average of failed attempts, 0 to 1. */
@@ -86,7 +86,7 @@
   /** Returns the rate limiter of an endpoint process. */
   readonly limiterOf: (endpoint: PublishedEndpoint) => RateLimiter;
   /** Returns the status of an engine as last polled; undefined for plain endpoints and unknown engines. */
-  readonly sightOf: (endpoint: PublishedEndpoint) => EngineSight | undefined;
+  readonly statusOf: (endpoint: PublishedEndpoint) => EngineStatus | undefined;
 }
 
 /** Table of the endpoints of this entry; selects one for each attempt. */
@@ -149,7 +149,7 @@
 
   /** Whether an endpoint is in the backoff that it requested. */
   isBackingOff(state: EndpointState): boolean {
-    return state.gate.backoff.isResting(this.deps.clock.nowMs());
+    return state.gate.backoff.isBackingOff(this.deps.clock.nowMs());
   }
 
   /** Whether an endpoint may be sent a request now. */
@@ -173,12 +173,12 @@
   }
 
   /** Time left until an opening, ms. */
-  untilMs({ atMs }: Opening): number {
+  remainingMs({ atMs }: Opening): number {
     return Math.max(0, atMs - this.deps.clock.nowMs());
   }
 
   private score(state: EndpointState, nowMs: number): number {
-    const status = this.deps.sightOf(state.endpoint);
+    const status = this.deps.statusOf(state.endpoint);
     // The ranks of a group run in lock-step, so only pace, distance and queueing distinguish them.
     const extraLoad = status ? this.extraLoadOf(state.endpoint, status) : 0;
     const load = (state.running + 1 + extraLoad) / state.endpoint.slots;
@@ -190,7 +190,7 @@
   }
 
   /** Extra load that is assumed for a remote or a full rank, in requests. */
-  private extraLoadOf(endpoint: PublishedEndpoint, status: EngineSight): number {
+  private extraLoadOf(endpoint: PublishedEndpoint, status: EngineStatus): number {
     const isFar = endpoint.dataCentre !== this.deps.dataCentre;
     const isFull = status.load >= endpoint.slots;
     return (isFar ? REMOTE_EXTRA_LOAD : 0) + (isFull ? FULL_EXTRA_LOAD : 0);
@@ -198,7 +198,7 @@
 
   /** Whether an endpoint is known to slow down its group. */
   isSlow(state: EndpointState): boolean {
-    return isSlowEngine(this.deps.sightOf(state.endpoint));
+    return isSlowEngine(this.deps.statusOf(state.endpoint));
   }
 
   private stateOf(endpoint: PublishedEndpoint): EndpointState {
@@ -207,20 +207,20 @@
     // The endpoint restarted: failures, requests and connections of the old process do not apply.
     if (state) this.previousProcesses.add(state);
     const service = this.deps.state.config?.services.get(endpoint.service);
-    const share = Math.floor((service?.maxConnections ?? 0) / CONNECTION_SHARERS);
+    const share = Math.floor((service?.maxConnections ?? 0) / ASSUMED_CONNECTION_PEERS);
     const created: EndpointState = {
       endpoint,
       connections: new FreshPool(`http://${endpoint.address}`, {
         connections: Math.max(2, Math.min(MAX_CONNECTIONS, share)),
         pipelining: 1,
         connect: createEndpointConnector(),
-        keepAliveTimeout: IDLE_CONNECTION_MS,
+        keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
         headersTimeout: 0,
         bodyTimeout: 0,
       }),
       health: new EndpointHealth(),
       gate: new EndpointGate(this.deps.limiterOf(endpoint)),
-      waiting: new Set(),
+      cancelUnsent: new Set(),
       running: 0,
       failureShare: 0,
       meanResponseMs: 0,
@@ -249,15 +249,15 @@
   }
 
   /** Starts the backoff that an endpoint requested; also cancels attempts that still wait for a connection. */
-  noteRest(state: EndpointState, restMs: number): void {
+  noteBackoff(state: EndpointState, restMs: number): void {
     state.gate.backoff.note(restMs, this.deps.clock.nowMs(), this.deps.random);
-    for (const cancel of [...state.waiting]) cancel();
+    for (const cancel of [...state.cancelUnsent]) cancel();
   }
 
   /** Records the first byte of a successful response to an attempt that was sent at `sentAtMs`. */
-  noteGood(state: EndpointState, sentAtMs: number): void {
+  noteSuccess(state: EndpointState, sentAtMs: number): void {
     const tookMs = this.deps.clock.nowMs() - sentAtMs;
-    state.gate.backoff.noteGood(sentAtMs);
+    state.gate.backoff.noteSuccess(sentAtMs);
     state.health.noteSuccess();
     state.failureShare *= 1 - FAILURE_EWMA_WEIGHT;
     state.meanResponseMs =
@@ -267,7 +267,7 @@
   }
 
   /** Records a failure caused by the endpoint, and ejects it after too many in a row. */
-  noteBad(state: EndpointState, detail: string): void {
+  noteFailure(state: EndpointState, detail: string): void {
     state.failureShare += FAILURE_EWMA_WEIGHT * (1 - state.failureShare);
     if (!state.health.noteFailure(this.deps.clock.nowMs(), this.deps.random)) return;
     this.deps.metrics.count('ejections_total', { service: state.endpoint.service });
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -11,15 +11,15 @@
 import { readBody } from '../runtime/read-body.js';
 import {
   DEFAULT_DEADLINE_MS,
-  ELSEWHERE_RETRY_S,
-  FINAL_ANSWER_MS,
+  OTHER_ENTRY_RETRY_S,
+  FINAL_RESPONSE_MARGIN_MS,
   STOP_SERVING_MS,
 } from './consts.js';
 import type { GatewayContext } from './context.js';
-import { refuse, type Refusal } from './refuse.js';
+import { sendRefusal, type Refusal } from './refuse.js';
 import { serveRequest } from './serve-request.js';
-import type { RequestEnd, RequestNote } from './active-request.js';
-import type { CallerHead, GatewayRequest } from './types.js';
+import type { RequestOutcome, RequestSummary } from './active-request.js';
+import type { RequestHead, GatewayRequest } from './types.js';
 
 /** The running gateway. */
 export interface Gateway {
@@ -59,7 +59,7 @@
     detail: string,
     retryAfterS?: number,
   ): Result<never, Refusal> {
-    return Err({ reason, detail, retryAfterS, close: retryAfterS === ELSEWHERE_RETRY_S });
+    return Err({ reason, detail, retryAfterS, close: retryAfterS === OTHER_ENTRY_RETRY_S });
   }
 
   function refuseStaleConfig(): Result<never, Refusal> {
@@ -67,7 +67,7 @@
     return refusal(
       'proof-old',
       `the configuration was last confirmed as current ${ageMs} ms ago; retry, another entry may serve the request`,
-      ELSEWHERE_RETRY_S,
+      OTHER_ENTRY_RETRY_S,
     );
   }
 
@@ -83,7 +83,7 @@
     key: string | undefined,
   ): Result<Organisation | undefined, Refusal> {
     if (route.isPublic || !config.organisationsByKey) return Ok(undefined);
-    if (!ctx.keysProved()) return refuseStaleConfig();
+    if (!ctx.areKeysConfirmed()) return refuseStaleConfig();
     const organisation = key === undefined ? undefined : config.organisationsByKey.get(key);
     if (organisation) return Ok(organisation);
     if (mayBeOutdated()) return refuseStaleConfig();
@@ -94,19 +94,19 @@
   }
 
   /** Validates a request before its body is read. */
-  function checkHead(head: CallerHead, req: IncomingMessage): Result<Admitted, Refusal> {
+  function checkHead(head: RequestHead, req: IncomingMessage): Result<Admitted, Refusal> {
     const { config } = state;
     if (!config)
       return refusal(
         'no-config',
         'no configuration has been read yet; retry, another entry may serve the request',
-        ELSEWHERE_RETRY_S,
+        OTHER_ENTRY_RETRY_S,
       );
     if (refusesAll())
       return refusal(
         'stopping',
         'this entry is shutting down; retry, another entry may serve the request',
-        ELSEWHERE_RETRY_S,
+        OTHER_ENTRY_RETRY_S,
       );
     if (head.requestId === undefined)
       return refusal('id-missing', 'the request has no request id; send one in its header');
@@ -127,8 +127,8 @@
     req: GatewayRequest | undefined,
     id: string,
     res: ServerResponse,
-    end: RequestEnd,
-    note: RequestNote,
+    end: RequestOutcome,
+    note: RequestSummary,
   ): void {
     const outcome = end.kind === 'refused' ? end.refusal.reason : end.kind;
     metrics.count('requests_total', { end: end.kind, kind: req?.route.kind ?? 'none' });
@@ -157,16 +157,16 @@
       detail:
         end.kind === 'refused' ? end.refusal.detail : end.kind === 'cut' ? end.detail : undefined,
     });
-    if (end.kind === 'refused') refuse(res, metrics, end.refusal);
+    if (end.kind === 'refused') sendRefusal(res, metrics, end.refusal);
     // A stream that was cut must not look complete to its caller: the connection is closed.
     if (end.kind === 'cut' || end.kind === 'gone') res.destroy();
   }
 
   async function serveCaller(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const arrivedAtMs = clock.nowMs();
-    const head = callers.readCaller(req.headers);
+    const head = callers.readRequest(req.headers);
     const id = head.requestId ?? 'none';
-    const note: RequestNote = {
+    const note: RequestSummary = {
       service: '',
       tries: [],
       queuedMs: 0,
@@ -202,12 +202,12 @@
       organisation,
       body: body.ok ? body.val : Buffer.alloc(0),
       arrivedAtMs,
-      leftMs: () => deadlineAtMs - ageClock.nowMs(),
+      remainingMs: () => deadlineAtMs - ageClock.nowMs(),
       gone: disconnected.signal,
     };
     if (body.err) {
       const { reason, message } = body.val;
-      const end: RequestEnd =
+      const end: RequestOutcome =
         reason === 'body-cut'
           ? { kind: 'gone' }
           : { kind: 'refused', refusal: { reason, detail: message, close: true } };
@@ -218,7 +218,10 @@
   }
 
   /** Serves a request whose body was read, if the caller interface admits it. */
-  async function serveAdmitted(request: GatewayRequest, note: RequestNote): Promise<RequestEnd> {
+  async function serveAdmitted(
+    request: GatewayRequest,
+    note: RequestSummary,
+  ): Promise<RequestOutcome> {
     const content = callers.readContent?.(request) ?? Ok({ route: request.route });
     if (content.err) return { kind: 'refused', refusal: content.val };
     const routed = { ...request, ...content.val };
@@ -234,18 +237,18 @@
   /** Returns the end of the request, or a timeout if the route's time is over first. */
   async function withRouteTimeout(
     request: GatewayRequest,
-    work: Promise<RequestEnd>,
-    note: RequestNote,
-  ): Promise<RequestEnd> {
+    work: Promise<RequestOutcome>,
+    note: RequestSummary,
+  ): Promise<RequestOutcome> {
     let timer: NodeJS.Timeout | undefined;
-    const timedOut = new Promise<RequestEnd>((resolve) => {
+    const timedOut = new Promise<RequestOutcome>((resolve) => {
       timer = setTimeout(
         () => {
           const detail = `timed out; attempts: ${note.tries.join(',') || 'none finished'}`;
           if (request.res.headersSent) resolve({ kind: 'cut', detail });
           else resolve({ kind: 'refused', refusal: { reason: 'time-over', detail } });
         },
-        request.leftMs() - FINAL_ANSWER_MS / 2,
+        request.remainingMs() - FINAL_RESPONSE_MARGIN_MS / 2,
       );
     });
     try {
@@ -285,6 +288,6 @@
       stoppingAtMs = clock.nowMs();
     },
     isReady: () =>
-      !isStopping() && state.config !== undefined && ctx.keysProved() && state.list.size > 0,
+      !isStopping() && state.config !== undefined && ctx.areKeysConfirmed() && state.list.size > 0,
   };
 }
--- a/src/gateway/group-status.ts
+++ b/src/gateway/group-status.ts
@@ -28,7 +28,7 @@
 const FRESH_DIGEST_MS = 500;
 
 /** Status of one engine as observed by its group's coordinator. */
-export interface EngineSight {
+export interface EngineStatus {
   /** Requests in flight or queued there. */
   readonly load: number;
   /** Relative step time; 1 is the normal speed, more is slower. */
@@ -48,7 +48,7 @@
 
 /** Latest poll result of one group. */
 interface PollResult {
-  readonly engines: ReadonlyMap<EndpointId, EngineSight>;
+  readonly engines: ReadonlyMap<EndpointId, EngineStatus>;
   readonly size: GroupLoad;
 }
 
@@ -92,7 +92,7 @@
   constructor(private readonly parts: GroupStatusDeps) {}
 
   /** Returns the status of an engine; undefined if it is unknown or too old. */
-  statusOf(endpoint: PublishedEndpoint): EngineSight | undefined {
+  statusOf(endpoint: PublishedEndpoint): EngineStatus | undefined {
     const group = this.groupByEngine.get(endpoint.id);
     return group === undefined ? undefined : this.freshResult(group)?.engines.get(endpoint.id);
   }
@@ -210,7 +210,7 @@
     const group = asId<GroupId>(digest.group);
     const countedAtMs = this.parts.clock.nowMs() - digest.ageMs;
     if (countedAtMs < (this.results.get(group)?.size.countedAtMs ?? 0)) return;
-    const engines = new Map<EndpointId, EngineSight>();
+    const engines = new Map<EndpointId, EngineStatus>();
     for (const engine of listed) {
       const rank = digest.hosts.indexOf(hostOf(engine.address));
       if (rank < 0) continue;
--- a/src/gateway/limit-shares.ts
+++ b/src/gateway/limit-shares.ts
@@ -4,7 +4,7 @@
   releasedShare,
   type KnownLimits,
   type LimitShare,
-  type Sharers,
+  type LimitPeers,
 } from '../core/backpressure/index.js';
 import type { PublishedEndpoint, PublishedState } from '../core/published/index.js';
 
@@ -14,7 +14,7 @@
   /** Rate limits announced by endpoints. */
   readonly limits: KnownLimits;
   /** Returns the peers sharing the limits. */
-  readonly sharers: () => Sharers;
+  readonly sharers: () => LimitPeers;
 }
 
 /** Position of an endpoint among those of its service sorted by id, 0 to below 1. */
@@ -37,5 +37,5 @@
   if (!limit) return undefined;
   const { limitPerS, releasedMs } = limit;
   if (releasedMs !== undefined) return releasedShare(limitPerS, sharers(), releasedMs);
-  return limitShare({ limitPerS, sharers: sharers(), ringPlace: ringPositionOf(state, endpoint) });
+  return limitShare({ limitPerS, peers: sharers(), ringPosition: ringPositionOf(state, endpoint) });
 }
--- a/src/gateway/process.ts
+++ b/src/gateway/process.ts
@@ -25,14 +25,14 @@
 import { listen } from '../runtime/listen.js';
 import { relayPlace } from '../runtime/relays.js';
 import { watchSettings } from '../runtime/settings-watch.js';
-import { STOP_CUT_MS, STOP_POLL_MS, STOP_SERVING_MS } from './consts.js';
-import { takeLeaving } from './backpressure-signals.js';
+import { STOP_ABORT_MS, STOP_POLL_MS, STOP_SERVING_MS } from './consts.js';
+import { applyLeaving } from './backpressure-signals.js';
 import { createContext, type GatewayContext } from './context.js';
 import { createGateway, type Gateway } from './gateway.js';
 import { GroupStatus } from './group-status.js';
 import { createRateLimits } from './rate-limits.js';
 import { createRelayBroadcast } from './relay-broadcast.js';
-import type { CallerInterface, InstanceSettings } from './types.js';
+import type { CallerApi, InstanceSettings } from './types.js';
 
 /** Port of the metrics address; the deployment file must use the same one. */
 const METRICS_PORT = 9464;
@@ -53,7 +53,7 @@
   readonly settings: InstanceSettings;
   readonly reread: () => Result<InstanceSettings, HarriergladeError>;
   readonly store: PublishedStore;
-  readonly callers: CallerInterface;
+  readonly callers: CallerApi;
   /** Path of the platform's readiness check. */
   readonly readyPath: string;
 }
@@ -106,13 +106,13 @@
   const ctx: GatewayContext = createContext({
     ...sharedDeps,
     ageClock,
-    tellCrashes: createRelayBroadcast({
+    broadcastCrashes: createRelayBroadcast({
       ...broadcastDeps,
       sendTo: (address, update) =>
         peers.at(address).crashes.mutate(update, { signal: AbortSignal.timeout(SEND_TIMEOUT_MS) }),
       event: 'crash.untold',
     }),
-    tellLeaving: (endpoint) => {
+    broadcastLeaving: (endpoint) => {
       relay.noteLearnt();
       broadcastLeaving({ from: settings.instance, leaving: [endpoint], limits: [] });
     },
@@ -121,9 +121,9 @@
     settings: settings.gateway,
     retryShare: () => settings.retryShare,
     callers: deps.callers,
-    sightOf: (endpoint) => groups.statusOf(endpoint),
-    entriesKnown: () => groups.knownEntries,
-    groupSize: (group) => groups.loadOf(group),
+    statusOf: (endpoint) => groups.statusOf(endpoint),
+    knownEntries: () => groups.knownEntries,
+    groupLoad: (group) => groups.loadOf(group),
     groupOf: (endpoint) => groups.groupOf(endpoint),
   });
   const gateway = createGateway(ctx);
@@ -160,12 +160,12 @@
   const calls: DaemonCalls = {
     published: (request) => relay.answer(request),
     crashes: (update) => {
-      if (crashes.take(update)) relay.wake();
+      if (crashes.merge(update)) relay.wake();
     },
     token: (request) => rateLimits.grant(request),
     asks: (update) => {
       rateLimits.merge(update);
-      if (takeLeaving(ctx, update)) relay.noteLearnt();
+      if (applyLeaving(ctx, update)) relay.noteLearnt();
     },
   };
   await listenAll(deps, gateway, metrics, calls);
@@ -175,7 +175,7 @@
 /** Logs the load of each group and the slots of this entry, so that refusals can be explained later. */
 function logSlotQueues(ctx: GatewayContext): void {
   for (const service of ctx.state.config?.services.values() ?? []) {
-    for (const { id, turns: slotQueue } of ctx.serviceOf(service.id).groups?.all() ?? []) {
+    for (const { id, slotQueue } of ctx.serviceOf(service.id).groups?.all() ?? []) {
       const fields = slotQueue.logFields();
       if (fields) ctx.log.info('group.seen', { service: service.id, group: id, ...fields });
     }
@@ -210,7 +210,7 @@
   const tookMs = (): number => systemClock.nowMs() - startedAtMs;
   gateway.stop();
   log.info('process.stopping', { running: gateway.running() });
-  while (tookMs() < settings.stopMs - STOP_CUT_MS) {
+  while (tookMs() < settings.stopGraceMs - STOP_ABORT_MS) {
     await sleep(STOP_POLL_MS);
     if (tookMs() > STOP_SERVING_MS && gateway.running() === 0) break;
   }
--- a/src/gateway/refuse.ts
+++ b/src/gateway/refuse.ts
@@ -25,7 +25,7 @@
  * Writes a refusal as the final response; returns false if it can no longer be sent.
  * @example sendRefusal(res, metrics, { reason: 'busy', detail: '8 of 8 slots', retryAfterS: 1 });
  */
-export function refuse(res: ServerResponse, metrics: Metrics, refusal: Refusal): boolean {
+export function sendRefusal(res: ServerResponse, metrics: Metrics, refusal: Refusal): boolean {
   const { reason, detail, retryAfterS, close } = refusal;
   const outcome = MAY_HAVE_RUN_REASONS.has(reason) ? 'unknown' : 'not-run';
   metrics.count('refusals_total', { reason, outcome });
--- a/src/gateway/serve-request.ts
+++ b/src/gateway/serve-request.ts
@@ -1,6 +1,6 @@
 /** Serves one request: waits for a slot, runs the attempts, and returns a single outcome. */
 import { pickService } from '../core/published/index.js';
-import { turnTerms } from '../core/limits/index.js';
+import { queueTerms } from '../core/limits/index.js';
 import { refuseCrashingRequest, runAttempts } from './attempts.js';
 import { BUSY_RETRY_S, DEFAULT_DEADLINE_MS, OUTAGE_RETRY_S } from './consts.js';
 import type { GatewayContext } from './context.js';
@@ -11,8 +11,8 @@
   remainingMs,
   refuseWith,
   randomRetryAfterS,
-  type RequestEnd,
-  type RequestNote,
+  type RequestOutcome,
+  type RequestSummary,
   type ActiveRequest,
 } from './active-request.js';
 
@@ -23,8 +23,8 @@
 export async function serveRequest(
   ctx: GatewayContext,
   request: GatewayRequest,
-  summary: RequestNote,
-): Promise<RequestEnd> {
+  summary: RequestSummary,
+): Promise<RequestOutcome> {
   const id = pickService(request.route, ctx.random);
   if (id === undefined) return refuseWith('no-endpoint', 'the route names no service', 1);
   const service = ctx.serviceOf(id);
@@ -54,7 +54,7 @@
   try {
     return await runAttempts(active);
   } finally {
-    active.group?.turns.queue.release();
+    active.group?.slotQueue.queue.release();
     summary.events = active.progress.events;
     summary.longestPauseMs = active.progress.longestPauseMs;
   }
@@ -64,19 +64,19 @@
 async function acquireSlot(
   active: ActiveRequest,
   groups: ServiceGroups,
-): Promise<RequestEnd | undefined> {
+): Promise<RequestOutcome | undefined> {
   const { ctx, request, summary } = active;
   const group = groups.choose(active.tried);
   if (!group) return failureOutcome(active);
-  const { turns: slotQueue } = group;
+  const { slotQueue } = group;
   const { route, gone } = request;
-  if (route.gapMs !== undefined) slotQueue.allowPauses(route.gapMs);
+  if (route.gapMs !== undefined) slotQueue.setAllowedPause(route.gapMs);
   const queuedAtMs = ctx.ageClock.nowMs();
   const deadlineMs = request.head.deadlineMs ?? DEFAULT_DEADLINE_MS;
-  const isReturning = groups.callers.isReturning(route.id, deadlineMs, queuedAtMs);
+  const isReturning = groups.returningCallers.isReturning(route.id, deadlineMs, queuedAtMs);
   summary.isReturning = isReturning;
-  if (slotQueue.outage.refuses(queuedAtMs)) {
-    groups.callers.recordRefusal(queuedAtMs);
+  if (slotQueue.outage.shouldRefuse(queuedAtMs)) {
+    groups.returningCallers.recordRefusal(queuedAtMs);
     return refuseWith(
       'outage',
       'no endpoint of the service is available',
@@ -84,19 +84,19 @@
     );
   }
   const priority = request.organisation?.priority ?? route.priority;
-  const terms = turnTerms({
+  const terms = queueTerms({
     isReturning,
     priority,
     targetMs: route.targetMs,
     leftMs: remainingMs(active),
   });
-  const isAdmitted = await slotQueue.queue.take(terms.order, terms.waitMs, gone);
+  const isAdmitted = await slotQueue.queue.acquire(terms.order, terms.waitMs, gone);
   summary.queuedMs = ctx.ageClock.nowMs() - queuedAtMs;
   if (isAdmitted) {
     active.group = group;
     return undefined;
   }
   if (gone.aborted) return { kind: 'gone' };
-  groups.callers.recordRefusal(ctx.ageClock.nowMs());
+  groups.returningCallers.recordRefusal(ctx.ageClock.nowMs());
   return refuseWith('busy', slotQueue.describe(), randomRetryAfterS(ctx, BUSY_RETRY_S));
 }
--- a/src/gateway/service-groups.ts
+++ b/src/gateway/service-groups.ts
@@ -27,26 +27,26 @@
 }
 
 /** A group and its slot queue at this entry. */
-export interface GroupTurns {
+export interface GroupQueue {
   readonly id: GroupId;
-  readonly turns: SlotQueue;
+  readonly slotQueue: SlotQueue;
 }
 
-interface Candidate extends GroupTurns {
+interface Candidate extends GroupQueue {
   /** Whether any of its available engines is in this entry's data centre. */
   isNear: boolean;
 }
 
 /** The engine groups of one service. */
 export class ServiceGroups {
-  readonly callers = new ReturningCallers();
+  readonly returningCallers = new ReturningCallers();
   private readonly queues = new Map<GroupId, SlotQueue>();
 
   constructor(private readonly deps: ServiceGroupsDeps) {}
 
   /** Returns all groups that have a slot queue. */
-  all(): GroupTurns[] {
-    return [...this.queues].map(([id, slotQueue]) => ({ id, turns: slotQueue }));
+  all(): GroupQueue[] {
+    return [...this.queues].map(([id, slotQueue]) => ({ id, slotQueue }));
   }
 
   /** Returns the slot queue of a group, creating it on first use. */
@@ -60,7 +60,7 @@
   }
 
   /** Whether an endpoint belongs to a group. */
-  isIn(endpoint: PublishedEndpoint, group: GroupId): boolean {
+  contains(endpoint: PublishedEndpoint, group: GroupId): boolean {
     return this.groupOf(endpoint) === group;
   }
 
@@ -74,7 +74,7 @@
    * Prefers groups without an outage, then groups with a free slot, then local ones, then the least utilised.
    * @example const group = groups.choose(tried); await group?.slotQueue.queue.take(0, 60, disconnected);
    */
-  choose(tried: ReadonlySet<EndpointId>, except?: GroupId): GroupTurns | undefined {
+  choose(tried: ReadonlySet<EndpointId>, except?: GroupId): GroupQueue | undefined {
     let best: Candidate | undefined;
     let bestCost = Number.POSITIVE_INFINITY;
     for (const candidate of this.candidates(tried, except)) {
@@ -94,15 +94,15 @@
       const isNear = endpoint.dataCentre === this.deps.dataCentre;
       const existing = found.get(id);
       if (existing) existing.isNear ||= isNear;
-      else found.set(id, { id, turns: this.queueOf(id), isNear });
+      else found.set(id, { id, slotQueue: this.queueOf(id), isNear });
     }
     return found.values();
   }
 
-  private costOf({ turns: slotQueue, isNear }: Candidate): number {
+  private costOf({ slotQueue, isNear }: Candidate): number {
     const { running, queued } = slotQueue.queue;
     const utilisation = (running + queued + 1) / slotQueue.slots;
-    if (slotQueue.outage.isOut(this.deps.clock.nowMs())) return COST.outage + utilisation;
+    if (slotQueue.outage.isDown(this.deps.clock.nowMs())) return COST.outage + utilisation;
     if (utilisation > 1) return COST.full + utilisation;
     return (isNear ? COST.near : COST.remote) + utilisation;
   }
--- a/src/gateway/slot-queue.ts
+++ b/src/gateway/slot-queue.ts
@@ -1,13 +1,13 @@
 /** Slots of this entry at a group of lock-step engines, and the admission queue of requests that wait for one. */
 import type { Clock } from '../core/clock/index.js';
 import {
-  Outage,
-  OwnCount,
-  placesOf,
-  runningNow,
-  StreamLimit,
-  TurnQueue,
-  type GroupCount,
+  OutageDetector,
+  StreamCountHistory,
+  slotsForEntry,
+  estimateInFlight,
+  StreamLimitEstimator,
+  WaitQueue,
+  type GroupStreamCount,
   type StepModel,
 } from '../core/limits/index.js';
 import type { LogFields } from '../core/logging/index.js';
@@ -54,16 +54,16 @@
 
 /** Slots and admission queue of one group at one entry. */
 export class SlotQueue {
-  readonly queue: TurnQueue;
-  readonly outage = new Outage();
-  private readonly limit = new StreamLimit();
-  private readonly ownCount = new OwnCount();
+  readonly queue: WaitQueue;
+  readonly outage = new OutageDetector();
+  private readonly limit = new StreamLimitEstimator();
+  private readonly ownCount = new StreamCountHistory();
   private allowedPauseMs = DEFAULT_PAUSE_MS;
   /** Slots computed from the last known status; used while the status is unknown. */
   private lastSlots = DEFAULT_SLOTS;
 
   constructor(private readonly deps: SlotQueueDeps) {
-    this.queue = new TurnQueue(
+    this.queue = new WaitQueue(
       () => this.slots,
       (taken) => this.ownCount.note(taken, deps.clock.nowMs()),
     );
@@ -74,8 +74,8 @@
     const group = this.latest();
     if (!group) return this.lastSlots;
     const { count, model } = group;
-    const limit = this.limit.streams(this.allowedPauseMs, model);
-    this.lastSlots = placesOf({ ...count, limit });
+    const limit = this.limit.maxStreams(this.allowedPauseMs, model);
+    this.lastSlots = slotsForEntry({ ...count, limit });
     return this.lastSlots;
   }
 
@@ -87,8 +87,8 @@
     return {
       running: size.running,
       ageMs: Math.round(count.ageMs),
-      now: Math.round(runningNow(count)),
-      limit: Math.round(this.limit.streams(this.allowedPauseMs, model)),
+      now: Math.round(estimateInFlight(count)),
+      limit: Math.round(this.limit.maxStreams(this.allowedPauseMs, model)),
       entries: size.entries,
       own: this.queue.running,
       places: this.slots,
@@ -109,14 +109,14 @@
   noteCompletePoll(): void {
     const nowMs = this.deps.clock.nowMs();
     const polledAtMs = this.deps.size()?.countedAtMs ?? nowMs;
-    const isConclusive = this.outage.lastedMs(polledAtMs) > POLL_COUNTS_AFTER_MS;
-    if (isConclusive && this.outage.lastedMs(nowMs) > MIN_OUTAGE_MS) this.outage.noteGood();
+    const isConclusive = this.outage.downForMs(polledAtMs) > POLL_COUNTS_AFTER_MS;
+    if (isConclusive && this.outage.downForMs(nowMs) > MIN_OUTAGE_MS) this.outage.noteSuccess();
     // The limit may have risen since the queued requests arrived.
-    this.queue.giveFree();
+    this.queue.grantFreeSlots();
   }
 
   /** Sets the longest pause between events that a route allows, ms. */
-  allowPauses(ms: number): void {
+  setAllowedPause(ms: number): void {
     this.allowedPauseMs = ms;
   }
 
@@ -126,21 +126,21 @@
     if (!group) return;
     const { count, model } = group;
     // A pause reflects the current streams: with an old count, steps would look far slower or faster.
-    this.limit.notePause(pauseMs, runningNow(count), model, this.deps.clock.nowMs());
+    this.limit.notePause(pauseMs, estimateInFlight(count), model, this.deps.clock.nowMs());
   }
 
   /** Returns the current load and step model; undefined if the status is unknown or no engine is published. */
   private latest():
-    | { readonly size: GroupLoad; readonly count: GroupCount; readonly model: StepModel }
+    | { readonly size: GroupLoad; readonly count: GroupStreamCount; readonly model: StepModel }
     | undefined {
     const size = this.deps.size();
     const engine = this.deps.engine();
     if (!size || !engine) return undefined;
-    const count: GroupCount = {
+    const count: GroupStreamCount = {
       running: size.running,
       ageMs: this.deps.clock.nowMs() - size.countedAtMs,
-      ownThen: this.ownCount.at(size.countedAtMs),
-      own: this.queue.running,
+      ownAtCount: this.ownCount.countAt(size.countedAtMs),
+      ownNow: this.queue.running,
       entries: size.entries,
     };
     return { size, count, model: { ...engine, ranks: size.ranks } };
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -1,6 +1,6 @@
 /** Types of the gateway, the request path of an entry. */
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from 'node:http';
-import type { AnswerAsks } from '../core/backpressure/index.js';
+import type { BackpressureSignals } from '../core/backpressure/index.js';
 import type { InstanceId, OrganisationId } from '../core/ids/index.js';
 import type {
   DataCentreId,
@@ -26,7 +26,7 @@
    * outage of 8 s led to nearly all callers being refused, and the value of a day's responses was
    * 0.43 instead of 0.58.
    */
-  readonly keyProofMs: number;
+  readonly keyFreshnessMs: number;
   /** Time within which a configuration change must take effect. */
   readonly configApplyMs: number;
   /** Timeout of reading a request body; defaults to the deadline of the request. */
@@ -57,7 +57,7 @@
   /** The endpoint on the same instance as this process. */
   readonly ownEndpoint: ListenAddress | undefined;
   /** Time between the stop signal and SIGKILL, ms. */
-  readonly stopMs: number;
+  readonly stopGraceMs: number;
   /** Time without contact after which an instance follows the published state again, ms. */
   readonly contactMs: number;
   /** Retries allowed per request, over all entries. */
@@ -66,7 +66,7 @@
 }
 
 /** Parsed headers of a caller's request. */
-export interface CallerHead {
+export interface RequestHead {
   readonly requestId: string | undefined;
   readonly host: string;
   /** Time for which the caller waits, ms; undefined if the request does not name it. */
@@ -90,7 +90,7 @@
 }
 
 /** Status and parsed headers of an endpoint's response. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   /** Id of the request that the response belongs to. */
   readonly requestId: string | undefined;
@@ -101,7 +101,7 @@
   /** Whether the body has a content encoding, which no request accepts. */
   readonly isEncoded: boolean;
   /** The endpoint's backpressure signals. */
-  readonly asks: AnswerAsks;
+  readonly asks: BackpressureSignals;
   /** Headers to forward to the caller. */
   readonly headers: Record<string, string | string[]>;
 }
@@ -110,13 +110,13 @@
  * Protocol of one API towards callers and endpoints. Only the header codec is required: by default,
  * routes are looked up by host and path prefix, and every request is admitted.
  */
-export interface CallerInterface extends HeaderCodec {
+export interface CallerApi extends HeaderCodec {
   /** Response header with the id of the request, if the entry assigns the id. */
   readonly requestIdHeader?: string;
   /** Looks up the route of a request by its headers. */
   readonly routeOf?: (
     config: PublishedConfig,
-    head: CallerHead,
+    head: RequestHead,
     req: IncomingMessage,
   ) => Route | undefined;
   /** Parses the request body; an error is sent as the final response. */
@@ -124,19 +124,19 @@
   /** Serves a request that needs no endpoint; returns false for all others. */
   readonly answer?: (req: IncomingMessage, res: ServerResponse) => boolean;
   /** Maps the request path to the path at the endpoint. */
-  readonly pathAt?: (url: string) => string;
+  readonly upstreamPath?: (url: string) => string;
   /** Admits or refuses a request; the returned function is called when the request ends. */
   readonly admit?: (request: GatewayRequest) => Result<() => void, Refusal>;
 }
 
 /** Parses and writes the headers of one API; makes no decisions. */
 export interface HeaderCodec {
-  readonly readCaller: (headers: IncomingHttpHeaders) => CallerHead;
+  readonly readRequest: (headers: IncomingHttpHeaders) => RequestHead;
   readonly writeAttempt: (
     headers: IncomingHttpHeaders,
     meta: AttemptMeta,
   ) => Record<string, string | string[]>;
-  readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerHead;
+  readonly readResponse: (status: number, headers: IncomingHttpHeaders) => ResponseHead;
 }
 
 /** Parsed body of a request, for APIs that read it. */
@@ -151,13 +151,13 @@
   readonly id: string;
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
-  readonly head: CallerHead;
+  readonly head: RequestHead;
   readonly organisation: Organisation | undefined;
   readonly body: Buffer;
   /** Monotonic arrival time, ms. */
   readonly arrivedAtMs: number;
   /** Time until its deadline, ms; time during which the process was suspended counts. */
-  readonly leftMs: () => number;
+  readonly remainingMs: () => number;
   /** Aborted when the caller disconnects. */
   readonly gone: AbortSignal;
 }
--- a/src/group/agent-process.ts
+++ b/src/group/agent-process.ts
@@ -3,7 +3,7 @@
  * its group.
  */
 import { sleep, SuspensionClock, systemClock } from '../core/clock/index.js';
-import { RankGate, type RankOrder } from '../core/groups/index.js';
+import { SwitchParticipant, type RankOrder } from '../core/groups/index.js';
 import { newIncarnation } from '../core/ids/index.js';
 import { createLog, type Log } from '../core/logging/index.js';
 import { Metrics } from '../core/metrics/index.js';
@@ -40,7 +40,7 @@
 import { createSwitchEngine } from './switch-engine.js';
 
 /** Dependencies of an agent process. */
-export interface AgentParts {
+export interface AgentDeps {
   readonly settings: InstanceSettings;
   readonly reread: () => Result<InstanceSettings, HarriergladeError>;
   readonly store: PublishedStore;
@@ -51,7 +51,7 @@
  * Starts an agent and listens for RPC calls.
  * @example await startAgent({ settings, reread, store, connect });
  */
-export async function startAgent(deps: AgentParts): Promise<void> {
+export async function startAgent(deps: AgentDeps): Promise<void> {
   const { settings } = deps;
   const { ownEndpoint } = settings;
   if (!ownEndpoint) throw new Error('settings: no engine of this instance is configured');
@@ -100,10 +100,10 @@
   const self = `${settings.ip}:${settings.internalPort}`;
   const layers = (): number => group.engineInfo()?.layers ?? 0;
   /** Creates a gate in front of the engine at a host; all instances use the same ports. */
-  const createGate = (host: string, isLocal: boolean): RankGate => {
+  const createGate = (host: string, isLocal: boolean): SwitchParticipant => {
     const calls = deps.connect(`http://${host}:${ownEndpoint.port}`, log, metrics);
     const engine = createSwitchEngine({ calls, clock, layers, pause: sleep, isLocal });
-    return new RankGate(newIncarnation(clock.wallMs()), engine, () => 0);
+    return new SwitchParticipant(newIncarnation(clock.wallMs()), engine, () => 0);
   };
   const gate = createGate(ownEndpoint.host, true);
   const digest = new LatestDigest(ageClock);
@@ -122,7 +122,7 @@
   const applyDigest = (received: GroupDigest | undefined): void => {
     if (received && digest.update(received)) group.recordDigest(received);
   };
-  const serveRank = async (order: RankOrder): ReturnType<RankGate['serve']> => {
+  const serveRank = async (order: RankOrder): ReturnType<SwitchParticipant['serve']> => {
     if (order.kind === 'look' && mayBeOwnGroup(order)) {
       applyDigest(order.digest);
       if (order.from !== undefined) election.recordPoll(order.from);
@@ -153,9 +153,9 @@
     }
   };
 
-  const directGates = new Map<string, RankGate>();
+  const directGates = new Map<string, SwitchParticipant>();
   /** Returns the gate through which this process drives another agent's engine directly. */
-  const directGateFor = (address: string): RankGate => {
+  const directGateFor = (address: string): SwitchParticipant => {
     const existing = directGates.get(address);
     if (existing) return existing;
     const created = createGate(hostOf(address), false);
--- a/src/group/coordinator-task.ts
+++ b/src/group/coordinator-task.ts
@@ -3,7 +3,7 @@
  * outweighs the copies.
  */
 import { errorText } from '../core/errors/index.js';
-import type { ExpertMap, GroupView, RankOrder, RankReply } from '../core/groups/index.js';
+import type { ExpertMap, GroupSnapshot, RankOrder, RankReply } from '../core/groups/index.js';
 import type { Log } from '../core/logging/index.js';
 import type { Metrics } from '../core/metrics/index.js';
 import { hostOf, type EngineInfo } from '../core/published/index.js';
@@ -229,7 +229,7 @@
     if (plan.copies === 0 || plan.skewBefore < plan.skewAfter * MIN_SKEW_IMPROVEMENT) return;
     const startedAtMs = this.deps.clock.nowMs();
     const base = toExpertMap(replies[0]?.mapId ?? '', current);
-    const choose = (view: GroupView): ExpertMap | undefined => {
+    const choose = (view: GroupSnapshot): ExpertMap | undefined => {
       if (view.mapId !== base.id) return undefined;
       const map = toExpertMap(view.epoch, plan.placement);
       this.maps.add(map.id, plan.placement);
--- a/src/group/engine-calls.ts
+++ b/src/group/engine-calls.ts
@@ -18,7 +18,7 @@
   /** Number of ranks in the group; undefined if the engine does not report it. */
   readonly ranks: number | undefined;
   /** Whether the group is running; a broken group has lost a rank. */
-  readonly isOpen: boolean;
+  readonly isGroupRunning: boolean;
   /** Slowdown factor of the engine; 1 is normal speed. */
   readonly pace: number;
   /** Requests in flight, and requests queued. */
@@ -53,7 +53,7 @@
   | { readonly kind: 'go'; readonly step: number };
 
 /** Outcome of an order. */
-export type CommandAnswer =
+export type CommandResult =
   /** Started, completed, or already in effect. */
   | 'taken'
   /** It does not match the engine's state, or the group has been re-formed. */
@@ -70,5 +70,5 @@
   placed(): Promise<number[][]>;
   /** Tokens of this rank's requests by layer and expert, since the engine's start. */
   picked(layers: number): Promise<number[][]>;
-  command(command: EngineCommand, fence: number, groupEpoch: number): Promise<CommandAnswer>;
+  command(command: EngineCommand, fence: number, groupEpoch: number): Promise<CommandResult>;
 }
--- a/src/group/group-view.ts
+++ b/src/group/group-view.ts
@@ -1,5 +1,5 @@
 /** Combines the replies of the ranks of a group. */
-import { setNewest, unpackCounts, type RankReply } from '../core/groups/index.js';
+import { setAndEvictOldest, unpackCounts, type RankReply } from '../core/groups/index.js';
 import type { Placement, Popularity } from '../core/placement/index.js';
 
 /** Replies of all ranks of one group, in order of rank. */
@@ -115,7 +115,7 @@
 
   /** Adds a map, evicting the oldest beyond the limit. */
   add(id: string, placement: Placement): void {
-    setNewest(this.byId, id, placement, MAX_MAPS);
+    setAndEvictOldest(this.byId, id, placement, MAX_MAPS);
   }
 
   /**
--- a/src/group/map-planner.ts
+++ b/src/group/map-planner.ts
@@ -61,9 +61,9 @@
     const startedAtMs = this.clock.nowMs();
     const plan = planRound(current, demand, {
       slotsPerRank: engine.slotsPerRank,
-      mostNew: maxNewPerRound(engine),
-      mostNewInLayer: engine.mostNew,
-      gainPerCopy: minGainPerCopy(engine, totalLoad(replies)),
+      maxNewPerRank: maxNewPerRound(engine),
+      maxNewPerRankAndLayer: engine.mostNew,
+      minGainPerCopy: minGainPerCopy(engine, totalLoad(replies)),
       pace: replies.map((reply) => reply.pace ?? 1),
     });
     const atMs = this.clock.nowMs();
--- a/src/group/switch-engine.ts
+++ b/src/group/switch-engine.ts
@@ -10,11 +10,11 @@
 import type {
   EngineOrder,
   EngineState,
-  OrderEnd,
+  OrderOutcome,
   RankEngine,
-  ReadWants,
+  ReadOptions,
 } from '../core/groups/index.js';
-import type { CommandAnswer, EngineCalls, EngineCommand, EngineReport } from './engine-calls.js';
+import type { CommandResult, EngineCalls, EngineCommand, EngineReport } from './engine-calls.js';
 
 /**
  * Timeout of a prepare order until its effect is reported, ms; copying one expert takes 0.1 s,
@@ -98,14 +98,14 @@
     command: EngineCommand,
     fence: number,
     timeoutMs: number,
-    isApplied: (report: EngineReport, answer: CommandAnswer | undefined) => boolean,
-  ): Promise<OrderEnd> {
+    isApplied: (report: EngineReport, answer: CommandResult | undefined) => boolean,
+  ): Promise<OrderOutcome> {
     const deadlineMs = clock.nowMs() + timeoutMs;
-    let answer: CommandAnswer | undefined;
+    let answer: CommandResult | undefined;
     while (clock.nowMs() < deadlineMs) {
       if (answer !== 'taken') answer = await calls.command(command, fence, groupEpoch);
       const report = await calls.report();
-      if (!report.isOpen || report.groupEpoch !== groupEpoch) return 'refused';
+      if (!report.isGroupRunning || report.groupEpoch !== groupEpoch) return 'refused';
       if (isApplied(report, answer)) return 'done';
       if (answer === 'refused' || answer === 'fenced') return answer;
       await deps.pause(
@@ -116,7 +116,7 @@
   }
 
   /** Raises the engine's fence: disarming an unused version is accepted and changes nothing. */
-  function raiseFence(to: number): Promise<OrderEnd> {
+  function raiseFence(to: number): Promise<OrderOutcome> {
     const command: EngineCommand = { kind: 'disarm', version: UNUSED_VERSION };
     return executeUntilApplied(command, to, ORDER_TIMEOUT_MS, (_, answer) => answer === 'taken');
   }
@@ -126,9 +126,9 @@
    * epoch or a higher one: the engine may still hold what that incarnation prepared under this
    * round's version.
    */
-  async function fence(epoch: number): Promise<OrderEnd> {
+  async function fence(epoch: number): Promise<OrderOutcome> {
     const report = await calls.report();
-    if (!report.isOpen) return 'refused';
+    if (!report.isGroupRunning) return 'refused';
     groupEpoch = report.groupEpoch;
     // A restarted engine has lost its fences, and with them the claimed epoch.
     if (report.startedAtMs !== fencedStartedAtMs) hasClaimedEpoch = false;
@@ -142,7 +142,7 @@
     return raised;
   }
 
-  async function arm(epoch: number, version: number, step: number): Promise<OrderEnd> {
+  async function arm(epoch: number, version: number, step: number): Promise<OrderOutcome> {
     const fence = roundFence(epoch);
     const held = await executeUntilApplied(
       { kind: 'hold', step },
@@ -160,7 +160,7 @@
   }
 
   /** Lets the group continue at this rank. */
-  async function releaseHold(epoch: number, step: number): Promise<OrderEnd> {
+  async function releaseHold(epoch: number, step: number): Promise<OrderOutcome> {
     const command: EngineCommand = { kind: 'go', step };
     return executeUntilApplied(
       command,
@@ -170,14 +170,14 @@
     );
   }
 
-  async function confirm(epoch: number, target: number): Promise<OrderEnd> {
+  async function confirm(epoch: number, target: number): Promise<OrderOutcome> {
     const report = await calls.report();
     if (report.groupEpoch !== groupEpoch) return 'refused';
     if (report.armed?.version !== target) return report.mapVersion >= target ? 'done' : 'refused';
     return report.heldStep === undefined ? 'done' : releaseHold(epoch, report.heldStep);
   }
 
-  async function abort(epoch: number, target: number): Promise<OrderEnd> {
+  async function abort(epoch: number, target: number): Promise<OrderOutcome> {
     const before = await calls.report();
     if (before.groupEpoch !== groupEpoch) return 'refused';
     const version = before.armed?.version ?? target;
@@ -194,7 +194,7 @@
     return report.heldStep === undefined ? 'done' : releaseHold(epoch, report.heldStep);
   }
 
-  async function order(order: EngineOrder): Promise<OrderEnd> {
+  async function order(order: EngineOrder): Promise<OrderOutcome> {
     switch (order.kind) {
       case 'fence':
         return fence(order.epoch);
@@ -216,9 +216,9 @@
     }
   }
 
-  async function read(wants: ReadWants): Promise<EngineState> {
+  async function read(wants: ReadOptions): Promise<EngineState> {
     const report = await calls.report();
-    if (!report.isOpen)
+    if (!report.isGroupRunning)
       throw new Error('engine reports that its group is broken: a rank is missing');
     const openSwitch = openSwitchOf(report);
     const mapId = String(report.mapVersion);
--- a/src/group/switch-rounds.ts
+++ b/src/group/switch-rounds.ts
@@ -3,12 +3,12 @@
 import {
   nextEpoch,
   runSwitch,
-  type CalledRank,
+  type RankTarget,
   type ChooseMap,
   type ExpertMap,
   type RankOrder,
   type RankReply,
-  type SwitchEnd,
+  type SwitchOutcome,
 } from '../core/groups/index.js';
 import type { Metrics } from '../core/metrics/index.js';
 import { replyTimeouts, PREPARE_TIMEOUT_MS } from './consts.js';
@@ -80,10 +80,10 @@
       base,
       times = new RoundTimes(this.deps.clock),
     }: SwitchRoundOptions = {},
-  ): Promise<SwitchEnd> {
+  ): Promise<SwitchOutcome> {
     const ownRank = addressByRank.indexOf(this.deps.self);
     const epoch = nextEpoch(this.highestEpoch, Math.max(0, ownRank));
-    const callRanks = (order: RankOrder, ranks: readonly CalledRank[]): Promise<Replies> => {
+    const callRanks = (order: RankOrder, ranks: readonly RankTarget[]): Promise<Replies> => {
       const calls = this.callRanks(order, ranks, addressByRank, unresponsive);
       return times.timed(order.kind, this.margin.timed(order.kind, calls));
     };
@@ -105,7 +105,7 @@
   /** Sends an order of a round; for unresponsive agents, directly to their engines. */
   private async callRanks(
     order: RankOrder,
-    ranks: readonly CalledRank[],
+    ranks: readonly RankTarget[],
     addressByRank: readonly string[],
     unresponsive: ReadonlySet<string>,
   ): Promise<Replies> {
--- a/test/caller-api/caller-api.test.ts
+++ b/test/caller-api/caller-api.test.ts
@@ -58,7 +58,7 @@
     body,
     route,
     organisation: { id: asId('rwandair'), priority: 5 },
-    leftMs: () => 30_000,
+    remainingMs: () => 30_000,
   } as GatewayRequest;
 }
 
@@ -186,7 +186,7 @@
     chat({ model: 'passenger-summary', messages: MESSAGES, max_tokens: 4000 }),
   );
   const content = api.readContent?.(asked).unwrap();
-  const late = limitsOf().admit({ ...asked, ...content, leftMs: () => 50 });
+  const late = limitsOf().admit({ ...asked, ...content, remainingMs: () => 50 });
   assert.ok(late.err);
   assert.equal(late.val.reason, 'deadline-unreachable');
 });
--- a/test/core/admission/admission.test.ts
+++ b/test/core/admission/admission.test.ts
@@ -4,7 +4,7 @@
   Admission,
   pressureOf,
   sacrificeThreshold,
-  SACRIFICE_FROM_PRESSURE,
+  MIN_SACRIFICE_PRESSURE,
   type AdmissionRequest,
 } from '../../../src/core/admission/index.js';
 import { EMPTY_BODY } from '../../../src/core/config-feed/index.js';
@@ -106,9 +106,9 @@
 
 test('load is shed in the order of the sacrifice list, and during the event only', () => {
   const body = { ...BODY, events: [EVENT] };
-  assert.equal(sacrificeThreshold(EVENT, IDLE), SACRIFICE_FROM_PRESSURE);
+  assert.equal(sacrificeThreshold(EVENT, IDLE), MIN_SACRIFICE_PRESSURE);
   assert.ok(
-    (sacrificeThreshold(EVENT, { ...IDLE, target: 'other' }) ?? 0) > SACRIFICE_FROM_PRESSURE,
+    (sacrificeThreshold(EVENT, { ...IDLE, target: 'other' }) ?? 0) > MIN_SACRIFICE_PRESSURE,
   );
   assert.equal(
     sacrificeThreshold(EVENT, { ...IDLE, organisation: 'large', target: 'other' }),
--- a/test/core/backpressure/backoff.test.ts
+++ b/test/core/backpressure/backoff.test.ts
@@ -18,7 +18,7 @@
   backoff.noteEnded(3000);
   assert.ok(isOpen(backoff, 3050));
   backoff.noteSent(3050);
-  backoff.noteGood(3050);
+  backoff.noteSuccess(3050);
   assert.ok(isOpen(backoff, 3051));
 });
 
@@ -26,7 +26,7 @@
   const backoff = new Backoff();
   backoff.note(3000, 0, noJitter);
   backoff.note(500, 100, noJitter);
-  backoff.noteGood(-20);
+  backoff.noteSuccess(-20);
   assert.equal(backoff.opensAtMs(200), 3000);
 });
 
@@ -61,11 +61,11 @@
       let untilMs = 0;
       for (const { afterMs, answer, backoffMs } of steps) {
         nowMs += afterMs;
-        if (answer === 'late good') backoff.noteGood(nowMs - 5000);
+        if (answer === 'late good') backoff.noteSuccess(nowMs - 5000);
         if (!isOpen(backoff, nowMs)) continue;
         assert.ok(nowMs >= untilMs);
         backoff.noteSent(nowMs);
-        if (answer === 'good') backoff.noteGood(nowMs);
+        if (answer === 'good') backoff.noteSuccess(nowMs);
         if (answer === 'backoff') {
           backoff.note(backoffMs, nowMs, Math.random);
           untilMs = Math.max(untilMs, nowMs + backoffMs);
--- a/test/core/backpressure/limit-share.test.ts
+++ b/test/core/backpressure/limit-share.test.ts
@@ -80,7 +80,7 @@
   fc.assert(
     fc.property(facts, ({ limitPerS, count, ringPlace }) => {
       const shares = Array.from({ length: count }, (_, place) =>
-        limitShare({ limitPerS, sharers: { place, count }, ringPlace }),
+        limitShare({ limitPerS, peers: { index: place, count }, ringPosition: ringPlace }),
       );
       const perS = shares.reduce((sum, share) => sum + share.perS, 0);
       assert.ok(perS <= limitPerS * 1.000001);
@@ -97,7 +97,7 @@
   const endpoints = 20;
   const endpointsPerEntry = Array.from({ length: count }, (_, place) => {
     const shares = Array.from({ length: endpoints }, (__, i) =>
-      limitShare({ limitPerS: 1, sharers: { place, count }, ringPlace: i / endpoints }),
+      limitShare({ limitPerS: 1, peers: { index: place, count }, ringPosition: i / endpoints }),
     );
     return shares.filter(({ perS }) => perS > 0).length;
   });
@@ -108,14 +108,14 @@
 test('an entry that knows no peers assumes that there are many', () => {
   const isolated = limitShare({
     limitPerS: 4,
-    sharers: { place: undefined, count: ASSUMED_PEERS },
-    ringPlace: 0,
+    peers: { index: undefined, count: ASSUMED_PEERS },
+    ringPosition: 0,
   });
   assert.deepEqual(isolated, { perS: 4 / ASSUMED_PEERS, saved: 1 });
 });
 
 test('the rate ramps up after the end of a limit', () => {
-  const peers = { place: 0, count: 10 };
+  const peers = { index: 0, count: 10 };
   assert.equal(releasedShare(4, peers, 0).perS, 0.4);
   assert.equal(releasedShare(4, peers, 3000).perS, 3.2);
   assert.ok(releasedShare(0, peers, 0).perS > 0);
--- a/test/core/clock/suspension.test.ts
+++ b/test/core/clock/suspension.test.ts
@@ -101,14 +101,14 @@
     clock: machine,
   });
   try {
-    assert.equal((await under.ask('q-1')).status, 200);
+    assert.equal((await under.send('q-1')).status, 200);
     machine.run(2000);
     machine.suspend(5000);
-    const refused = await under.ask('q-2');
+    const refused = await under.send('q-2');
     assert.equal(refused.status, 503);
     assert.equal(under.gateway.isReady(), false);
     under.state.proveConfig(under.ctx.ageClock.nowMs());
-    assert.equal((await under.ask('q-3')).status, 200);
+    assert.equal((await under.send('q-3')).status, 200);
   } finally {
     under.close();
     raw.close();
--- a/test/core/crashes/evidence.test.ts
+++ b/test/core/crashes/evidence.test.ts
@@ -26,9 +26,9 @@
 
 test('a successful run clears a request, before its second crash or after', () => {
   const evidence = evidenceAt({ nowMs: 0 });
-  assert.equal(evidence.noteGoodEnd(P), false, 'it is not suspected');
+  assert.equal(evidence.noteSuccess(P), false, 'it is not suspected');
   for (const endpoint of ['e-1', 'e-2']) evidence.noteCrash(P, at(endpoint));
-  assert.equal(evidence.noteGoodEnd(P), true);
+  assert.equal(evidence.noteSuccess(P), true);
   evidence.noteCrash(P, at('e-3'));
   assert.equal(evidence.isRefused(P), false);
 });
@@ -47,7 +47,7 @@
   const evidence = evidenceAt({ nowMs: 0 });
   for (const endpoint of ['e-1', 'e-2']) evidence.noteCrash(P, at(endpoint));
   for (let i = 0; i < 500; i += 1) evidence.noteCrash(asId<Fingerprint>(`f-${i}`), at('e-1'));
-  assert.equal(evidence.newsSince(0).suspects.length, 128);
+  assert.equal(evidence.deltaSince(0).suspects.length, 128);
   assert.equal(evidence.isRefused(P), true);
 });
 
@@ -57,10 +57,10 @@
   const { version } = evidence;
   evidence.noteCrash(Q, at('e-1'));
   assert.deepEqual(
-    evidence.newsSince(version).suspects.map(({ fingerprint }) => fingerprint),
+    evidence.deltaSince(version).suspects.map(({ fingerprint }) => fingerprint),
     ['q'],
   );
-  assert.deepEqual(evidence.newsSince(evidence.version).suspects, []);
+  assert.deepEqual(evidence.deltaSince(evidence.version).suspects, []);
 });
 
 const OBSERVATION = fc.record({
@@ -79,12 +79,12 @@
         const clock = { nowMs: 10_000 };
         const entries = Array.from({ length: 4 }, () => evidenceAt(clock));
         const sendUpdate = (from: number, to: number): void => {
-          const update = entries[from]?.newsSince(0);
-          if (update) entries[to]?.take(update);
+          const update = entries[from]?.deltaSince(0);
+          if (update) entries[to]?.merge(update);
         };
         for (const { print, endpoint, by, isGood } of observations) {
           const fingerprint = asId<Fingerprint>(print);
-          if (isGood) entries[by]?.noteGoodEnd(fingerprint);
+          if (isGood) entries[by]?.noteSuccess(fingerprint);
           else entries[by]?.noteCrash(fingerprint, at(endpoint));
         }
         for (const [from, to] of order) sendUpdate(from, to);
--- a/test/core/groups/switch-round.test.ts
+++ b/test/core/groups/switch-round.test.ts
@@ -6,15 +6,15 @@
   ESTIMATED_COUNT_BYTES,
   nextEpoch,
   ESTIMATED_ORDER_BYTES,
-  RankGate,
+  SwitchParticipant,
   MAX_ROUND_BYTES_PER_SECOND,
-  roundPauseMs,
+  roundDelayMs,
   callEachRank,
   runSwitch,
   type CallRank,
   type EngineOrder,
   type EngineState,
-  type OrderEnd,
+  type OrderOutcome,
   type ExpertMap,
   type RankOrder,
   type RankEngine,
@@ -52,7 +52,7 @@
     });
   }
 
-  order(order: EngineOrder): Promise<OrderEnd> {
+  order(order: EngineOrder): Promise<OrderOutcome> {
     if (this.checksFences && order.epoch < this.fence) return Promise.resolve('fenced');
     if (this.checksFences) this.fence = order.epoch;
     return Promise.resolve(this.apply(order) ? 'done' : 'refused');
@@ -104,7 +104,7 @@
 /** Simulated ranks, agents and coordinators; every message may be delayed or lost. */
 class SimCluster {
   readonly engines: SimEngine[];
-  readonly participants: RankGate[] = [];
+  readonly participants: SwitchParticipant[] = [];
   private readonly restarts: number[] = [];
 
   constructor(
@@ -121,7 +121,7 @@
   startAgent(rank: number): void {
     this.restarts[rank] = (this.restarts[rank] ?? 0) + 1;
     const incarnation = asId<Incarnation>(`r${rank}-${this.restarts[rank]}`);
-    this.participants[rank] = new RankGate(
+    this.participants[rank] = new SwitchParticipant(
       incarnation,
       this.engines[rank] as SimEngine,
       () => rank,
@@ -151,7 +151,7 @@
             const number = sent;
             await this.s.schedule(Promise.resolve(), `${id} ${order.kind} ${rank}`);
             if (lost.has(number)) throw new Error('lost');
-            const reply = await (this.participants[rank] as RankGate).serve(order);
+            const reply = await (this.participants[rank] as SwitchParticipant).serve(order);
             await this.s.schedule(Promise.resolve(), `${rank} replies ${id}`);
             return reply;
           }),
@@ -221,9 +221,9 @@
 function startRanks(): { readonly engines: SimEngine[]; readonly call: CallRank } {
   const engines = Array.from({ length: RANKS }, () => new SimEngine(true, true));
   const participants = engines.map(
-    (e, rank) => new RankGate(asId<Incarnation>(`r${rank}`), e, () => rank),
+    (e, rank) => new SwitchParticipant(asId<Incarnation>(`r${rank}`), e, () => rank),
   );
-  return { engines, call: (rank, order) => (participants[rank] as RankGate).serve(order) };
+  return { engines, call: (rank, order) => (participants[rank] as SwitchParticipant).serve(order) };
 }
 
 test('the next coordinator aborts the switch of one that crashed after arming, and switches itself', async () => {
@@ -300,18 +300,23 @@
 });
 
 test('small groups use the configured delay, large ones stay within the bandwidth limit', () => {
-  assert.equal(roundPauseMs({ ranks: 4, layers: 8, slotsPerRank: 3 }, 2000), 2000);
-  const large = roundPauseMs({ ranks: 32, layers: 60, slotsPerRank: 3 }, 2000);
+  assert.equal(roundDelayMs({ ranks: 4, layers: 8, slotsPerRank: 3 }, 2000), 2000);
+  const large = roundDelayMs({ ranks: 32, layers: 60, slotsPerRank: 3 }, 2000);
   const bytes = 32 * (ESTIMATED_ORDER_BYTES + 60 * 3 * ESTIMATED_COUNT_BYTES);
   assert.ok(bytes / (large / 1000) <= MAX_ROUND_BYTES_PER_SECOND + 1);
 });
 
 test('recovery makes no decision when a restarted agent has lost its promise', async () => {
   const engines = Array.from({ length: RANKS }, () => new SimEngine(false, true));
-  const start = (rank: number, n: number): RankGate =>
-    new RankGate(asId<Incarnation>(`r${rank}-${n}`), engines[rank] as SimEngine, () => rank);
+  const start = (rank: number, n: number): SwitchParticipant =>
+    new SwitchParticipant(
+      asId<Incarnation>(`r${rank}-${n}`),
+      engines[rank] as SimEngine,
+      () => rank,
+    );
   const participants = engines.map((_, rank) => start(rank, 1));
-  const serve = (rank: number, order: RankOrder) => (participants[rank] as RankGate).serve(order);
+  const serve = (rank: number, order: RankOrder) =>
+    (participants[rank] as SwitchParticipant).serve(order);
   const ctx = {
     group: 'g',
     ranks: RANKS,
--- a/test/core/limits/queue-terms.test.ts
+++ b/test/core/limits/queue-terms.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../../src/core/clock/index.js';
-import { turnTerms, type QueuedCaller, type QueueTerms } from '../../../src/core/limits/index.js';
+import { queueTerms, type QueuedCaller, type QueueTerms } from '../../../src/core/limits/index.js';
 
 const SLOTS = 50;
 const SERVICE_MS = 1500;
@@ -93,9 +93,9 @@
 test('first tries first recovers after a burst, returning callers first prolongs the overload', () => {
   const later = {
     before: meanOverSeeds(returningFirst, 20_000),
-    after: meanOverSeeds(turnTerms, 20_000),
+    after: meanOverSeeds(queueTerms, 20_000),
   };
-  const whole = { before: meanOverSeeds(returningFirst, 0), after: meanOverSeeds(turnTerms, 0) };
+  const whole = { before: meanOverSeeds(returningFirst, 0), after: meanOverSeeds(queueTerms, 0) };
   assert.ok(later.after > later.before + 0.15, JSON.stringify(later));
   assert.ok(whole.after > whole.before + 0.2, JSON.stringify(whole));
 });
--- a/test/core/placement/placement.test.ts
+++ b/test/core/placement/placement.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  fetchedExperts,
+  countFetchedExperts,
   planPlacement,
   PopularityEstimate,
   rankLoads,
-  repack,
+  packPlacement,
   stepSkew,
-  withShift,
+  applyDeclaredShifts,
   type Placement,
   type PlacementPolicy,
   type Popularity,
@@ -59,7 +59,7 @@
         assertComplete(plan.placement, 8, POLICY.slotsPerRank);
         assert.ok(plan.bytes <= budgetBytes);
         assert.ok(plan.skewAfter <= plan.skewBefore + 1e-9);
-        assert.ok(fetchedExperts(current, plan.placement) <= plan.fetches.length);
+        assert.ok(countFetchedExperts(current, plan.placement) <= plan.fetches.length);
       },
     ),
     { seed: 41, numRuns: 300 },
@@ -69,7 +69,7 @@
 test('packing from scratch places every expert and respects the slots', () => {
   fc.assert(
     fc.property(popularityArbitrary(1, 12), (popularity) =>
-      assertComplete(repack(popularity, 4, 4), 12, 4),
+      assertComplete(packPlacement(popularity, 4, 4), 12, 4),
     ),
     { seed: 42, numRuns: 300 },
   );
@@ -109,7 +109,7 @@
 
 test('a declared shift changes only the experts that it names', () => {
   assert.deepEqual(
-    withShift(
+    applyDeclaredShifts(
       [[10, 10]],
       [
         { expert: 0, factor: 3 },
--- a/test/core/placement/round-plan.test.ts
+++ b/test/core/placement/round-plan.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { seededRandom } from '../../../src/core/clock/index.js';
 import {
-  fetchedExperts,
+  countFetchedExperts,
   loadSums,
   planRound,
   rankLoads,
@@ -55,9 +55,9 @@
       (counts, slowdowns, maxNewPerRank, maxNewPerRankAndLayer) => {
         const randomPolicy = {
           slotsPerRank: SLOTS,
-          mostNew: maxNewPerRank,
-          mostNewInLayer: maxNewPerRankAndLayer,
-          gainPerCopy: 0.002,
+          maxNewPerRank,
+          maxNewPerRankAndLayer,
+          minGainPerCopy: 0.002,
           pace: slowdowns,
         };
         const plan = planRound(roundRobin, counts, randomPolicy);
@@ -71,7 +71,7 @@
         for (let rank = 0; rank < RANKS; rank += 1) {
           const rankOnly = (p: Placement): Placement => p.map((layer) => [layer[rank] ?? []]);
           assert.ok(
-            fetchedExperts(rankOnly(roundRobin), rankOnly(plan.placement)) <= maxNewPerRank,
+            countFetchedExperts(rankOnly(roundRobin), rankOnly(plan.placement)) <= maxNewPerRank,
           );
           roundRobin.forEach((layer, l) => {
             const had = new Set(layer[rank]);
@@ -96,9 +96,9 @@
   for (let round = 0; round < 6; round += 1) {
     const slowRankPolicy = {
       slotsPerRank: SLOTS,
-      mostNew: 2,
-      mostNewInLayer: 2,
-      gainPerCopy: 0.002,
+      maxNewPerRank: 2,
+      maxNewPerRankAndLayer: 2,
+      minGainPerCopy: 0.002,
       pace: slowdowns,
     };
     current = planRound(current, even, slowRankPolicy).placement;
@@ -112,9 +112,9 @@
   const even = Array.from({ length: LAYERS }, () => new Array<number>(EXPERTS).fill(100));
   const evenLoadPolicy = {
     slotsPerRank: SLOTS,
-    mostNew: 2,
-    mostNewInLayer: 2,
-    gainPerCopy: 0.002,
+    maxNewPerRank: 2,
+    maxNewPerRankAndLayer: 2,
+    minGainPerCopy: 0.002,
     pace: [1, 1, 1, 1],
   };
   assert.equal(planRound(roundRobin, even, evenLoadPolicy).copies, 0);
@@ -146,9 +146,9 @@
     const slowdowns = new Array<number>(ranks).fill(1);
     const largeGroupPolicy = {
       slotsPerRank,
-      mostNew: 16,
-      mostNewInLayer: 2,
-      gainPerCopy: 7e-5,
+      maxNewPerRank: 16,
+      maxNewPerRankAndLayer: 2,
+      minGainPerCopy: 7e-5,
       pace: slowdowns,
     };
     const startedAt = process.cpuUsage();
--- a/test/gateway/backpressure-signals.test.ts
+++ b/test/gateway/backpressure-signals.test.ts
@@ -30,8 +30,8 @@
   endpoint,
   route,
   startGateway,
-  type GatewayUnderTest,
-  type Got,
+  type TestGateway,
+  type TestResponse,
 } from './harness.js';
 
 /** Interval at which the configuration is confirmed as current, ms. */
@@ -41,9 +41,9 @@
 
 interface TestSetup {
   readonly endpoints: readonly SignallingEndpoint[];
-  readonly gateways: readonly GatewayUnderTest[];
+  readonly gateways: readonly TestGateway[];
   /** Sends requests round-robin to all entries at a total rate, and waits for the responses. */
-  sendLoad(seconds: number, perS: number): Promise<Got[]>;
+  sendLoad(seconds: number, perS: number): Promise<TestResponse[]>;
 }
 
 async function withSetup(
@@ -54,23 +54,23 @@
     Array.from({ length: size.endpoints }, () => startSignallingEndpoint()),
   );
   const listed = endpoints.map(({ address }, i) => endpoint(`e-${i}`, address));
-  const gateways: GatewayUnderTest[] = [];
+  const gateways: TestGateway[] = [];
   const tellLeaving = (process: EndpointProcess): void => {
     for (const { ctx } of gateways) takeLeaving(ctx, { from: 'other', leaving: [process] });
   };
   for (let i = 0; i < size.entries; i += 1)
-    gateways.push(await startGateway(config([route()]), listed, { tellLeaving }));
+    gateways.push(await startGateway(config([route()]), listed, { broadcastLeaving: tellLeaving }));
   const confirmTimer = setInterval(() => {
     for (const { state, ctx } of gateways) state.proveConfig(ctx.ageClock.nowMs());
   }, CONFIRM_INTERVAL_MS);
   let sent = 0;
-  const sendLoad = async (seconds: number, perS: number): Promise<Got[]> => {
+  const sendLoad = async (seconds: number, perS: number): Promise<TestResponse[]> => {
     const startedAtMs = performance.now();
-    const responses: Promise<Got>[] = [];
+    const responses: Promise<TestResponse>[] = [];
     for (let n = 0; n < seconds * perS; n += 1) {
       const entry = n % gateways.length;
       sent += 1;
-      const pending = gateways[entry]?.ask(requestId(`entry${entry}`, sent));
+      const pending = gateways[entry]?.send(requestId(`entry${entry}`, sent));
       if (pending) responses.push(pending);
       await wait(Math.max(0, startedAtMs + ((n + 1) * 1000) / perS - performance.now()));
     }
@@ -110,7 +110,7 @@
           : { headers: [], serviceTimeMs: 700 };
       };
       const pending = Array.from({ length: MAX_CONNECTIONS + 4 }, (_, n) =>
-        testGateway.ask(requestId('e', n)),
+        testGateway.send(requestId('e', n)),
       );
       const responses = await Promise.all(pending);
       assert.equal(only.arrivals.length, MAX_CONNECTIONS);
@@ -127,8 +127,8 @@
 test('Retry-After names the end of the first backoff while all endpoints are backing off', async () => {
   await withSetup({ endpoints: 2, entries: 1 }, async ({ endpoints, gateways: [testGateway] }) => {
     for (const each of endpoints) each.behaviour = () => requestBackoff(1.5);
-    await testGateway?.ask(requestId('e', 1));
-    const response = await testGateway?.ask(requestId('e', 2));
+    await testGateway?.send(requestId('e', 1));
+    const response = await testGateway?.send(requestId('e', 2));
     assert.equal(response?.status, 503);
     assert.ok((response?.tookMs ?? 1000) < 100);
     const afterS = Number(response?.headers['retry-after']);
@@ -156,11 +156,11 @@
     async ({ endpoints: [only], gateways: [testGateway] }) => {
       assert.ok(only && testGateway);
       only.behaviour = () => requestBackoff(60);
-      await testGateway.ask(requestId('e', 1));
+      await testGateway.send(requestId('e', 1));
       only.behaviour = () => ({ headers: [] });
-      assert.equal((await testGateway.ask(requestId('e', 2))).status, 503);
+      assert.equal((await testGateway.send(requestId('e', 2))).status, 503);
       testGateway.state.offerList([{ ...endpoint('e-0', only.address), startedAtMs: 5 }], false);
-      assert.equal((await testGateway.ask(requestId('e', 3))).status, 200);
+      assert.equal((await testGateway.send(requestId('e', 3))).status, 200);
     },
   );
 });
@@ -171,11 +171,11 @@
     async ({ endpoints: [only], gateways: [testGateway] }) => {
       assert.ok(only && testGateway);
       only.behaviour = () => requestBackoff(60);
-      await testGateway.ask(requestId('e', 1));
+      await testGateway.send(requestId('e', 1));
       testGateway.state.offerList([], false);
       testGateway.ctx.endpoints.prune();
       testGateway.state.offerList([endpoint('e-0', only.address)], false);
-      assert.equal((await testGateway.ask(requestId('e', 2))).status, 503);
+      assert.equal((await testGateway.send(requestId('e', 2))).status, 503);
       assert.equal(only.arrivals.length, 1);
     },
   );
@@ -187,9 +187,9 @@
     async ({ endpoints: [only], gateways: [testGateway] }) => {
       assert.ok(only && testGateway);
       only.behaviour = () => ({ status: 421, headers: ['Server-Leaving: 1', 'Server-Limit: 0'] });
-      await testGateway.ask(requestId('e', 1));
+      await testGateway.send(requestId('e', 1));
       only.behaviour = () => ({ headers: [] });
-      assert.equal((await testGateway.ask(requestId('e', 2))).status, 200);
+      assert.equal((await testGateway.send(requestId('e', 2))).status, 200);
     },
   );
 });
@@ -212,7 +212,7 @@
     async ({ endpoints: [first], gateways, sendLoad }) => {
       assert.ok(first);
       first.behaviour = () => announceLeaving;
-      while (first.arrivals.length === 0) await gateways[0]?.ask(requestId('entry0', 0));
+      while (first.arrivals.length === 0) await gateways[0]?.send(requestId('entry0', 0));
       await sendLoad(1, 60);
       assert.deepEqual([...new Set(first.arrivals.map(({ entry }) => entry))], ['entry0']);
     },
@@ -223,13 +223,13 @@
   await withSetup({ endpoints: 1, entries: 2 }, async ({ endpoints: [only], gateways }) => {
     assert.ok(only);
     only.behaviour = () => announceLeaving;
-    await gateways[0]?.ask(requestId('entry0', 1));
+    await gateways[0]?.send(requestId('entry0', 1));
     only.behaviour = () => ({ headers: [] });
-    assert.equal((await gateways[1]?.ask(requestId('entry1', 1)))?.status, 503);
+    assert.equal((await gateways[1]?.send(requestId('entry1', 1)))?.status, 503);
     const next = { ...endpoint('e-0', only.address), startedAtMs: 5 };
     for (const { state } of gateways) state.offerList([next], false);
     for (const [i, testGateway] of gateways.entries())
-      assert.equal((await testGateway.ask(requestId(`entry${i}`, 2))).status, 200);
+      assert.equal((await testGateway.send(requestId(`entry${i}`, 2))).status, 200);
   });
 });
 
@@ -252,7 +252,7 @@
     acquire: () => wait(40, false),
   };
   const testGateway = await startGateway(config([route()]), listed, { limiterOf: () => slow });
-  const { status, body, tookMs } = await testGateway.ask(requestId('entry0', 1));
+  const { status, body, tookMs } = await testGateway.send(requestId('entry0', 1));
   testGateway.close();
   assert.equal(status, 503);
   assert.match(body, /"reason":"limited"/);
@@ -266,10 +266,10 @@
   const listed = [endpoint('e-0', only.address)];
   const testGateway = await startGateway(config([route()]), listed, { limiterOf: () => slow });
   try {
-    await testGateway.ask(requestId('entry0', 0));
+    await testGateway.send(requestId('entry0', 0));
     await wait(500);
     only.behaviour = () => ({ headers: [], serviceTimeMs: 200 });
-    await Promise.all([1, 2, 3, 4, 5].map((n) => testGateway.ask(requestId('entry0', n))));
+    await Promise.all([1, 2, 3, 4, 5].map((n) => testGateway.send(requestId('entry0', n))));
     assert.equal(only.arrivals.length, 2);
   } finally {
     testGateway.close();
--- a/test/gateway/buffered-response.test.ts
+++ b/test/gateway/buffered-response.test.ts
@@ -18,11 +18,11 @@
   route,
   TEST_SETTINGS,
   startGateway,
-  type GatewayUnderTest,
+  type TestGateway,
 } from './harness.js';
 
 interface TestSetup {
-  readonly testGateway: GatewayUnderTest;
+  readonly testGateway: TestGateway;
   readonly endpoints: RawEndpoint[];
 }
 
@@ -49,7 +49,7 @@
 
 test('a request and its response are forwarded unaltered', async () => {
   await withEndpoints([respondOk], {}, async (setup) => {
-    const response = await setup.testGateway.ask('q-1', {
+    const response = await setup.testGateway.send('q-1', {
       path: '/x/a%20b?c=1&d=%2F',
       body: 'hello',
       headers: {
@@ -79,10 +79,10 @@
 
 test('requests with an unknown route, a wrong key or no id are refused without an attempt', async () => {
   await withEndpoints([respondOk], {}, async (setup) => {
-    assert.equal((await setup.testGateway.ask('q-1', { path: '/nowhere/1' })).status, 404);
-    const wrong = await setup.testGateway.ask('q-2', { headers: { authorization: 'Bearer no' } });
+    assert.equal((await setup.testGateway.send('q-1', { path: '/nowhere/1' })).status, 404);
+    const wrong = await setup.testGateway.send('q-2', { headers: { authorization: 'Bearer no' } });
     assert.equal(wrong.status, 401);
-    assert.equal((await setup.testGateway.ask('', {})).status, 400);
+    assert.equal((await setup.testGateway.send('', {})).status, 400);
     assert.equal(requestsSent(setup), 0);
   });
 });
@@ -93,7 +93,7 @@
     setTimeout(() => req.socket.resetAndDestroy(), 30);
   };
   await withEndpoints([cut], { kind: 'once' }, async (setup) => {
-    const response = await setup.testGateway.ask('q-1');
+    const response = await setup.testGateway.send('q-1');
     assert.equal(response.status, 502);
     assert.equal(response.headers['x-server-stamp'], undefined);
     assert.equal(requestsSent(setup), 1);
@@ -108,7 +108,7 @@
   };
   await withEndpoints([cut, cut, cut, cut], { kind: 'once' }, async (setup) => {
     for (let i = 0; i < 40; i += 1)
-      assert.equal((await setup.testGateway.ask(`q-${i}`)).status, 502);
+      assert.equal((await setup.testGateway.send(`q-${i}`)).status, 502);
   });
 });
 
@@ -116,7 +116,7 @@
   const unframed: RawAnswer = (req) =>
     req.socket.end(answerHead(req, '200 OK', ['Connection: close']) + 'all of it');
   await withEndpoints([unframed], { kind: 'once' }, async (setup) => {
-    const response = await setup.testGateway.ask('q-1');
+    const response = await setup.testGateway.send('q-1');
     assert.deepEqual([response.status, response.body, response.complete], [200, 'all of it', true]);
   });
 });
@@ -163,7 +163,7 @@
 for (const [what, answer] of invalidResponses) {
   test(`a response that ${what} is not forwarded, and a non-repeatable request is not retried`, async () => {
     await withEndpoints([answer, answer], { kind: 'once', maxAttempts: 2 }, async (setup) => {
-      const response = await setup.testGateway.ask('q-1');
+      const response = await setup.testGateway.send('q-1');
       assert.equal(response.status, 502);
       assert.equal(response.headers['x-server-stamp'], undefined);
       assert.equal(requestsSent(setup), 1);
@@ -172,7 +172,7 @@
 
   test(`a repeatable request is retried elsewhere after a response that ${what}`, async () => {
     await withEndpoints([answer, answer, respondOk], { maxAttempts: 3 }, async (setup) => {
-      const response = await setup.testGateway.ask('q-1');
+      const response = await setup.testGateway.send('q-1');
       assert.deepEqual([response.status, response.body], [200, 'fine']);
     });
   });
@@ -185,7 +185,7 @@
   };
   await withEndpoints([twice], { kind: 'once' }, async (setup) => {
     for (let i = 0; i < 4; i += 1) {
-      const response = await setup.testGateway.ask(`q-${i}`);
+      const response = await setup.testGateway.send(`q-${i}`);
       assert.ok(
         response.body === 'first' || response.status === 502,
         `${response.status} ${response.body}`,
@@ -208,14 +208,14 @@
       [refuseAsNotRun, respondOk],
       { kind: 'once', maxAttempts: 2 },
       async (setup) => {
-        assert.equal((await setup.testGateway.ask('q-1')).body, 'fine');
+        assert.equal((await setup.testGateway.send('q-1')).body, 'fine');
       },
     );
     await withEndpoints(
       [refuseAsNotRun, refuseAsNotRun],
       { kind: 'once', maxAttempts: 2 },
       async (setup) => {
-        const response = await setup.testGateway.ask('q-1');
+        const response = await setup.testGateway.send('q-1');
         assert.equal(response.status, 503);
         assert.ok(Number(response.headers['retry-after']) > 0);
         assert.equal(requestsSent(setup), 2);
@@ -232,7 +232,7 @@
     endpoint('gone', unreachable.address),
     endpoint('live', live.address),
   ]);
-  for (let i = 0; i < 6; i += 1) assert.equal((await testGateway.ask(`q-${i}`)).body, 'fine');
+  for (let i = 0; i < 6; i += 1) assert.equal((await testGateway.send(`q-${i}`)).body, 'fine');
   testGateway.close();
   live.close();
 });
@@ -241,14 +241,14 @@
   const failed: RawAnswer = (req) =>
     req.socket.write(answerHead(req, '500 Internal Server Error', ['Content-Length: 4']) + 'oops');
   await withEndpoints([failed], { kind: 'once' }, async (setup) => {
-    const response = await setup.testGateway.ask('q-1');
+    const response = await setup.testGateway.send('q-1');
     assert.deepEqual(
       [response.status, response.body, response.headers['x-server-stamp']],
       [500, 'oops', 's.1'],
     );
   });
   await withEndpoints([failed, failed, failed], { maxAttempts: 2 }, async (setup) => {
-    assert.equal((await setup.testGateway.ask('q-1')).status, 500);
+    assert.equal((await setup.testGateway.send('q-1')).status, 500);
     assert.equal(requestsSent(setup), 2);
   });
 });
@@ -256,12 +256,12 @@
 test('a stalled endpoint is abandoned early enough to respond within the route timeout', async () => {
   const silent: RawAnswer = () => undefined;
   await withEndpoints([silent, respondOk], { targetMs: 100 }, async (setup) => {
-    const response = await setup.testGateway.ask('q-1');
+    const response = await setup.testGateway.send('q-1');
     assert.equal(response.body, 'fine');
     assert.ok(response.tookMs < 400, `${response.tookMs} ms`);
   });
   await withEndpoints([silent], { kind: 'once', timeoutMs: 300 }, async (setup) => {
-    const response = await setup.testGateway.ask('q-1');
+    const response = await setup.testGateway.send('q-1');
     assert.equal(response.status, 504);
     assert.ok(response.tookMs < 320, `${response.tookMs} ms`);
   });
@@ -271,7 +271,7 @@
   const failed: RawAnswer = (req) =>
     req.socket.write(answerHead(req, '500 Internal Server Error', ['Content-Length: 0']));
   await withEndpoints([failed, failed, failed], { maxAttempts: 3 }, async (setup) => {
-    for (let i = 0; i < 60; i += 1) await setup.testGateway.ask(`q-${i}`);
+    for (let i = 0; i < 60; i += 1) await setup.testGateway.send(`q-${i}`);
     // This entry's part of the 480 extra retries of all entries, plus a share of the requests.
     assert.ok(
       requestsSent(setup) - 60 <= 480 / 48 + 60 * 0.2,
@@ -288,7 +288,7 @@
     req.socket.on('close', () => (closedAfterMs = performance.now() - at));
   };
   await withEndpoints([slow], {}, async (setup) => {
-    await setup.testGateway.ask('q-1', { disconnectAfterMs: 60 });
+    await setup.testGateway.send('q-1', { disconnectAfterMs: 60 });
     await wait(60);
     assert.ok(closedAfterMs < 150, `closed after ${closedAfterMs} ms`);
     assert.equal(setup.testGateway.gateway.running(), 0);
@@ -297,7 +297,7 @@
 
 test('a request body over the limit is refused and its connection closed', async () => {
   await withEndpoints([respondOk], {}, async (setup) => {
-    const response = await setup.testGateway.ask('q-1', { body: 'x'.repeat(5000) });
+    const response = await setup.testGateway.send('q-1', { body: 'x'.repeat(5000) });
     assert.equal(response.status, 413);
     assert.equal(response.headers.connection, 'close');
     assert.equal(requestsSent(setup), 0);
@@ -311,24 +311,24 @@
   const cfg = config([route(), route({ pathPrefix: '/open/', isPublic: true })]);
   const testGateway = await startGateway(cfg, [endpoint('e-0', raw.address)], { clock });
   nowMs += 3400;
-  assert.equal((await testGateway.ask('q-1')).status, 200);
+  assert.equal((await testGateway.send('q-1')).status, 200);
   nowMs += 200;
-  const late = await testGateway.ask('q-2');
+  const late = await testGateway.send('q-2');
   assert.equal(late.status, 503);
   assert.equal(late.headers.connection, 'close');
   assert.equal(testGateway.gateway.isReady(), false);
-  assert.equal((await testGateway.ask('q-3', { path: '/open/1' })).status, 200);
-  assert.equal((await testGateway.ask('q-4', { path: '/unknown/1' })).status, 503);
+  assert.equal((await testGateway.send('q-3', { path: '/open/1' })).status, 200);
+  assert.equal((await testGateway.send('q-4', { path: '/unknown/1' })).status, 503);
   assert.equal(raw.requests.length, 2);
   testGateway.state.proveConfig(nowMs);
-  assert.equal((await testGateway.ask('q-5')).status, 200);
+  assert.equal((await testGateway.send('q-5')).status, 200);
   testGateway.close();
   raw.close();
 });
 
 test('an entry without a configuration or one that is stopping closes the connections of callers', async () => {
   const unconfigured = await startGateway(undefined, []);
-  const response = await unconfigured.ask('q-1');
+  const response = await unconfigured.send('q-1');
   assert.deepEqual([response.status, response.headers.connection], [503, 'close']);
   assert.equal(unconfigured.gateway.isReady(), false);
   unconfigured.close();
@@ -336,7 +336,7 @@
     setup.testGateway.gateway.stop();
     assert.equal(setup.testGateway.gateway.isReady(), false);
     const agent = new http.Agent({ keepAlive: true });
-    const still = await setup.testGateway.ask('q-1', { agent });
+    const still = await setup.testGateway.send('q-1', { agent });
     assert.deepEqual([still.status, still.headers.connection], [200, 'close']);
     agent.destroy();
   });
@@ -344,8 +344,8 @@
 
 test('every request is logged with the decisions made for it', async () => {
   await withEndpoints([respondOk], {}, async (setup) => {
-    await setup.testGateway.ask('q-7');
-    const line = setup.testGateway.lines.find((l) => l.fields['request'] === 'q-7');
+    await setup.testGateway.send('q-7');
+    const line = setup.testGateway.logLines.find((l) => l.fields['request'] === 'q-7');
     assert.equal(line?.event, 'request.end');
     assert.equal(line?.fields['outcome'], 'answered');
     assert.equal(line?.fields['tries'], 'e-0:200');
@@ -363,7 +363,7 @@
         chunk(''),
     );
   await withEndpoints([chunked], {}, async (setup) => {
-    const response = await setup.testGateway.ask('q-1', {
+    const response = await setup.testGateway.send('q-1', {
       headers: { 'transfer-encoding': 'chunked' },
       body: 'in',
     });
@@ -373,10 +373,7 @@
 });
 
 /** Starts a gateway whose configuration was last confirmed a minute ago. */
-async function startWithStaleConfig(
-  keyProofMs: number,
-  address: string,
-): Promise<GatewayUnderTest> {
+async function startWithStaleConfig(keyProofMs: number, address: string): Promise<TestGateway> {
   const endpoints = [endpoint('e-0', address)];
   const settings = { ...TEST_SETTINGS, keyProofMs };
   let clockOffsetMs = 0;
@@ -390,16 +387,16 @@
   await withEndpoints([respondOk], {}, async (setup) => {
     const address = setup.endpoints[0]?.address ?? '';
     const closed = await startWithStaleConfig(5000, address);
-    assert.equal((await closed.ask('q-1')).status, 503);
+    assert.equal((await closed.send('q-1')).status, 503);
     assert.equal(closed.gateway.isReady(), false);
     closed.close();
     const open = await startWithStaleConfig(Number.POSITIVE_INFINITY, address);
-    assert.equal((await open.ask('q-2')).status, 200);
+    assert.equal((await open.send('q-2')).status, 200);
     assert.equal(open.gateway.isReady(), true);
     // A key or a route may have been added since.
-    const unknownKey = await open.ask('q-3', { headers: { authorization: 'Bearer key-9' } });
+    const unknownKey = await open.send('q-3', { headers: { authorization: 'Bearer key-9' } });
     assert.deepEqual([unknownKey.status, unknownKey.headers.connection], [503, 'close']);
-    assert.equal((await open.ask('q-4', { path: '/y/1' })).status, 503);
+    assert.equal((await open.send('q-4', { path: '/y/1' })).status, 503);
     open.close();
   });
 });
--- a/test/gateway/crashing-request.test.ts
+++ b/test/gateway/crashing-request.test.ts
@@ -14,8 +14,8 @@
   endpoint,
   route,
   startGateway,
-  type GatewayUnderTest,
-  type Got,
+  type TestGateway,
+  type TestResponse,
 } from './harness.js';
 import { CrashingEndpoint } from './crashing-endpoint.js';
 
@@ -32,7 +32,7 @@
 
 interface TestSetup {
   readonly endpoints: readonly CrashingEndpoint[];
-  readonly gateways: readonly GatewayUnderTest[];
+  readonly gateways: readonly TestGateway[];
 }
 
 async function withEntries(
@@ -45,12 +45,12 @@
     ),
   );
   const listed = endpoints.map(({ address }, i) => endpoint(`e-${i}`, address));
-  const gateways: GatewayUnderTest[] = [];
+  const gateways: TestGateway[] = [];
   const sendToAll = (news: CrashNews): void => {
-    for (const { ctx } of gateways) ctx.crashes.evidence.take(news);
+    for (const { ctx } of gateways) ctx.crashes.evidence.merge(news);
   };
   for (let i = 0; i < entries; i += 1)
-    gateways.push(await startGateway(config([route()]), listed, { tellCrashes: sendToAll }));
+    gateways.push(await startGateway(config([route()]), listed, { broadcastCrashes: sendToAll }));
   const confirmTimer = setInterval(() => {
     for (const { state, ctx } of gateways) state.proveConfig(ctx.ageClock.nowMs());
   }, CONFIRM_INTERVAL_MS);
@@ -71,7 +71,7 @@
     const [testGateway] = all.gateways;
     const statuses: (number | undefined)[] = [];
     for (let i = 0; i < ATTEMPTS; i += 1) {
-      statuses.push((await testGateway?.ask(`p-${i}`, { path: CRASHING_PATH }))?.status);
+      statuses.push((await testGateway?.send(`p-${i}`, { path: CRASHING_PATH }))?.status);
       await wait(RETRY_PAUSE_MS);
     }
     assert.equal(crashCount(all), 2, statuses.join());
@@ -81,15 +81,15 @@
 test('a crashing request retried at other entries is refused, while other requests are served', async () => {
   await withEntries(4, async (all) => {
     const others = all.gateways.map(async (testGateway, i) => {
-      const responses: Got[] = [];
+      const responses: TestResponse[] = [];
       for (let n = 0; n < OTHER_REQUESTS; n += 1) {
-        responses.push(await testGateway.ask(`o-${i}-${n}`, { path: `/x/${n % 3}` }));
+        responses.push(await testGateway.send(`o-${i}-${n}`, { path: `/x/${n % 3}` }));
         await wait(20);
       }
       return responses;
     });
     for (let i = 0; i < ATTEMPTS; i += 1) {
-      await all.gateways[i % 4]?.ask(`p-${i}`, { path: CRASHING_PATH });
+      await all.gateways[i % 4]?.send(`p-${i}`, { path: CRASHING_PATH });
       await wait(RETRY_PAUSE_MS);
     }
     assert.equal(crashCount(all), 2);
@@ -105,9 +105,9 @@
 
 test('the refusal of a crashing request is correct, and its Retry-After discourages retries', async () => {
   await withEntries(1, async ({ gateways: [testGateway], endpoints }) => {
-    await testGateway?.ask('p-1', { path: CRASHING_PATH });
+    await testGateway?.send('p-1', { path: CRASHING_PATH });
     await wait(RETRY_PAUSE_MS);
-    const response = await testGateway?.ask('p-2', { path: CRASHING_PATH });
+    const response = await testGateway?.send('p-2', { path: CRASHING_PATH });
     assert.equal(response?.status, 503);
     assert.equal(response?.headers['retry-after'], '300.00');
     const runs = endpoints.flatMap((each) => each.runs).filter((path) => path === CRASHING_PATH);
@@ -120,10 +120,12 @@
     let requestCount = 0;
     const refused: string[] = [];
     const untilMs = performance.now() + 4000;
-    const sendRepeatedly = async (testGateway: GatewayUnderTest): Promise<void> => {
+    const sendRepeatedly = async (testGateway: TestGateway): Promise<void> => {
       while (performance.now() < untilMs) {
         requestCount += 1;
-        const { status, body } = await testGateway.ask(`h-${requestCount}`, { path: '/x/popular' });
+        const { status, body } = await testGateway.send(`h-${requestCount}`, {
+          path: '/x/popular',
+        });
         if (status === 503) refused.push(body);
       }
     };
@@ -150,7 +152,7 @@
     const raw = await startRawEndpoint((req) => req.socket.resetAndDestroy());
     try {
       testGateway?.state.offerList([endpoint('e-raw', raw.address)], false);
-      for (let i = 0; i < 4; i += 1) await testGateway?.ask(`r-${i}`, { path: '/x/reset' });
+      for (let i = 0; i < 4; i += 1) await testGateway?.send(`r-${i}`, { path: '/x/reset' });
       assert.equal(raw.requests.length, 4);
       assert.equal(testGateway?.ctx.crashes.evidence.isEmpty, true);
     } finally {
--- a/test/gateway/endpoints.test.ts
+++ b/test/gateway/endpoints.test.ts
@@ -42,7 +42,7 @@
         () => 0,
         () => undefined,
       ),
-    sightOf: (e) => (isGroup ? { pace: 1, load: loadOf(e) } : undefined),
+    statusOf: (e) => (isGroup ? { pace: 1, load: loadOf(e) } : undefined),
   });
 }
 
@@ -90,7 +90,7 @@
   const first = endpoints.choose(asId(SERVICE), new Set([other.id]));
   assert.ok(first);
   const sentAtMs = endpoints.noteSent(first);
-  for (let i = 0; i < 8; i += 1) endpoints.noteBad(first, 'refused');
+  for (let i = 0; i < 8; i += 1) endpoints.noteFailure(first, 'refused');
   assert.equal(endpoints.choose(asId(SERVICE), new Set())?.endpoint.id, 'other');
   const after = { ...before, address: '127.0.0.1:4', startedAtMs: 2 };
   state.offerList([after, other], false);
--- a/test/gateway/groups.test.ts
+++ b/test/gateway/groups.test.ts
@@ -17,8 +17,8 @@
   route,
   SERVICE,
   startGateway,
-  type GatewayUnderTest,
-  type Got,
+  type TestGateway,
+  type TestResponse,
 } from './harness.js';
 
 const RANKS = 3;
@@ -28,7 +28,7 @@
   req.socket.write(answerHead(req, '503 Group Broken', ['X-Not-Executed: 1', 'Content-Length: 0']));
 
 interface Harness {
-  readonly under: GatewayUnderTest;
+  readonly under: TestGateway;
   /** Returns the number of requests received by each group. */
   reached(): number[];
 }
@@ -62,17 +62,17 @@
 
 test('a request that its group cannot serve is retried in another group, not at another rank', async () => {
   await withGroups([broken, ok], async ({ under, reached }) => {
-    for (let i = 0; i < 8; i += 1) assert.equal((await under.ask(`q-${i}`)).status, 200);
+    for (let i = 0; i < 8; i += 1) assert.equal((await under.send(`q-${i}`)).status, 200);
     const [first = 0, second = 0] = reached();
     assert.equal(second, 8);
     assert.ok(first <= 8, `${first}`);
-    assert.ok(under.lines.every((line) => line.fields['outcome'] !== 'not-run'));
+    assert.ok(under.logLines.every((line) => line.fields['outcome'] !== 'not-run'));
   });
 });
 
 test('if all groups are broken, the request is refused with Retry-After', async () => {
   await withGroups([broken, broken], async ({ under, reached }) => {
-    const got = await under.ask('q-1');
+    const got = await under.send('q-1');
     assert.equal(got.status, 503);
     assert.ok(Number(got.headers['retry-after']) >= 2);
     assert.deepEqual(reached(), [1, 1]);
@@ -87,7 +87,7 @@
 
 test('while all ranks of a group back off, no request queues for it and another group serves', async () => {
   await withGroups([backingOff, ok], async ({ under, reached }) => {
-    for (let i = 0; i < 20; i += 1) assert.equal((await under.ask(`q-${i}`)).status, 200);
+    for (let i = 0; i < 20; i += 1) assert.equal((await under.send(`q-${i}`)).status, 200);
     assert.ok((reached()[0] ?? 0) <= RANKS);
   });
 });
@@ -96,15 +96,15 @@
   let isBackingOff = false;
   const answer: RawAnswer = (req) => (isBackingOff ? backingOff : ok)(req);
   await withGroups([answer], async ({ under }) => {
-    const request = (id: string, waitsMs: number): Promise<Got> =>
-      under.ask(id, { headers: { 'x-deadline-ms': String(waitsMs) } });
+    const request = (id: string, waitsMs: number): Promise<TestResponse> =>
+      under.send(id, { headers: { 'x-deadline-ms': String(waitsMs) } });
     assert.equal((await request('q-first', 8000)).status, 200);
     isBackingOff = true;
     while (!(await request('q-fresh', 8000)).body.includes('"reason":"resting"'));
     isBackingOff = false;
     await wait(2500);
     for (let i = 0; i < 30; i += 1) assert.equal((await request(`q-${i}`, 5600)).status, 200);
-    const callers = under.ctx.serviceOf(asId(SERVICE)).groups?.callers;
+    const callers = under.ctx.serviceOf(asId(SERVICE)).groups?.returningCallers;
     assert.equal(callers?.isReturning(asId('r-1'), 5600, performance.now()), true);
   });
 });
--- a/test/gateway/harness.ts
+++ b/test/gateway/harness.ts
@@ -12,7 +12,7 @@
   ASSUMED_PEERS,
   KnownLimits,
   ShareLimiter,
-  type Sharers,
+  type LimitPeers,
 } from '../../src/core/backpressure/index.js';
 import { asId } from '../../src/core/ids/index.js';
 import { silentLog, type Log, type LogFields } from '../../src/core/logging/index.js';
@@ -30,7 +30,7 @@
   shareOf,
   type Gateway,
   type GatewayContext,
-  type GatewayParts,
+  type GatewayDeps,
   type GatewaySettings,
 } from '../../src/gateway/index.js';
 
@@ -86,7 +86,7 @@
 }
 
 export const TEST_SETTINGS: GatewaySettings = {
-  keyProofMs: 5000,
+  keyFreshnessMs: 5000,
   configApplyMs: 2000,
   parserHeaderBytes: 64 * 1024,
   retryExtra: 480,
@@ -107,7 +107,7 @@
 }
 
 /** The response that the caller received. */
-export interface Got {
+export interface TestResponse {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
@@ -117,18 +117,18 @@
 }
 
 /** A running gateway under test. */
-export interface GatewayUnderTest {
+export interface TestGateway {
   readonly ctx: GatewayContext;
   readonly gateway: Gateway;
   readonly state: PublishedState;
   readonly metrics: Metrics;
   /** Recorded log lines. */
-  readonly lines: { readonly event: string; readonly fields: LogFields }[];
-  ask(id: string, request?: TestRequest): Promise<Got>;
+  readonly logLines: { readonly event: string; readonly fields: LogFields }[];
+  send(id: string, request?: TestRequest): Promise<TestResponse>;
   close(): void;
 }
 
-function createRecordingLog(lines: GatewayUnderTest['lines']): Log {
+function createRecordingLog(lines: TestGateway['logLines']): Log {
   const record = (event: string, fields: LogFields = {}): void =>
     void lines.push({ event, fields });
   return { ...silentLog, info: record, warn: record, error: record };
@@ -137,8 +137,14 @@
 /** Dependencies that a test may replace. */
 export interface TestGatewayOptions extends Partial<
   Pick<
-    GatewayParts,
-    'groupOf' | 'groupSize' | 'tellCrashes' | 'tellLeaving' | 'limits' | 'limiterOf' | 'sightOf'
+    GatewayDeps,
+    | 'groupOf'
+    | 'groupLoad'
+    | 'broadcastCrashes'
+    | 'broadcastLeaving'
+    | 'limits'
+    | 'limiterOf'
+    | 'statusOf'
   >
 > {
   readonly clock?: Clock;
@@ -153,16 +159,16 @@
   cfg: PublishedConfig | undefined,
   endpoints: readonly PublishedEndpoint[],
   options: TestGatewayOptions = {},
-): Promise<GatewayUnderTest> {
+): Promise<TestGateway> {
   const { clock = systemClock, settings = TEST_SETTINGS, ...parts } = options;
   const state = new PublishedState();
   if (cfg) state.offerConfig(cfg, clock.nowMs());
   state.offerList(endpoints, false);
   const metrics = new Metrics();
-  const lines: GatewayUnderTest['lines'] = [];
+  const lines: TestGateway['logLines'] = [];
   const ageClock = new SuspensionClock(clock);
   const limits = new KnownLimits(ageClock);
-  const sharingPeers = (): Sharers => ({ place: undefined, count: ASSUMED_PEERS });
+  const sharingPeers = (): LimitPeers => ({ index: undefined, count: ASSUMED_PEERS });
   const shareDeps = { state, limits, sharers: sharingPeers };
   const ctx = createContext({
     settings,
@@ -175,12 +181,12 @@
     log: createRecordingLog(lines),
     metrics,
     dataCentre: asId('a'),
-    sightOf: () => undefined,
-    entriesKnown: () => 0,
-    groupSize: () => undefined,
+    statusOf: () => undefined,
+    knownEntries: () => 0,
+    groupLoad: () => undefined,
     groupOf: () => undefined,
-    tellCrashes: () => undefined,
-    tellLeaving: () => undefined,
+    broadcastCrashes: () => undefined,
+    broadcastLeaving: () => undefined,
     limits,
     limiterOf: (of) => new ShareLimiter(ageClock, seededRandom(2), () => shareOf(shareDeps, of)),
     ...parts,
@@ -193,8 +199,8 @@
     gateway,
     state,
     metrics,
-    lines,
-    ask: (id, request = {}) => sendRequest(port, id, request),
+    logLines: lines,
+    send: (id, request = {}) => sendRequest(port, id, request),
     close: () => {
       gateway.server.close();
       gateway.server.closeAllConnections();
@@ -203,7 +209,7 @@
   };
 }
 
-function sendRequest(port: number, id: string, request: TestRequest): Promise<Got> {
+function sendRequest(port: number, id: string, request: TestRequest): Promise<TestResponse> {
   const startedAt = performance.now();
   return new Promise((resolve) => {
     let status = 0;
--- a/test/gateway/service-groups.test.ts
+++ b/test/gateway/service-groups.test.ts
@@ -49,11 +49,11 @@
       groups.choose(new Set(tried.map((id) => asId<EndpointId>(id))), except)?.id,
     fill: async (group) => {
       const { queue, slots } = groups.queueOf(group);
-      for (let i = 0; i < slots; i += 1) assert.equal(await queue.take(0, 0, never), true);
+      for (let i = 0; i < slots; i += 1) assert.equal(await queue.acquire(0, 0, never), true);
     },
     startOutage: (group) => {
       for (let i = 0; i < 5; i += 1) {
-        groups.queueOf(group).outage.noteBad(clock.atMs);
+        groups.queueOf(group).outage.noteFailure(clock.atMs);
         clock.atMs += 100;
       }
     },
--- a/test/gateway/shared-slots.test.ts
+++ b/test/gateway/shared-slots.test.ts
@@ -56,7 +56,7 @@
   const call = (isRetry: boolean): void => {
     const { queue } = queues[Math.floor(random() * ENTRIES)] as SlotQueue;
     if (nowMs >= WARM_UP_MS) callers += 1;
-    if (queue.takeNow(false)) {
+    if (queue.tryAcquire(false)) {
       running += 1;
       return after(STREAM_MS, () => {
         running -= 1;
--- a/test/gateway/slot-queue.test.ts
+++ b/test/gateway/slot-queue.test.ts
@@ -29,11 +29,11 @@
 
 /** Records enough failures in a row to start an outage. */
 function startOutage(queue: SlotQueue): void {
-  queue.outage.noteBad(clock.nowMs());
+  queue.outage.noteFailure(clock.nowMs());
   clock.jump(250);
-  for (let i = 0; i < 4; i += 1) queue.outage.noteBad(clock.nowMs());
+  for (let i = 0; i < 4; i += 1) queue.outage.noteFailure(clock.nowMs());
   assert.equal(
-    queue.outage.refuses(clock.nowMs()),
+    queue.outage.shouldRefuse(clock.nowMs()),
     false,
     'the first request after the failures is a probe',
   );
@@ -57,10 +57,10 @@
   const queue = slotQueueOf(() => undefined);
   startOutage(queue);
   queue.noteCompletePoll();
-  assert.equal(queue.outage.isOut(clock.nowMs()), true, 'the poll may predate the outage');
+  assert.equal(queue.outage.isDown(clock.nowMs()), true, 'the poll may predate the outage');
   clock.jump(1000);
   queue.noteCompletePoll();
-  assert.equal(queue.outage.isOut(clock.nowMs()), false);
+  assert.equal(queue.outage.isDown(clock.nowMs()), false);
 });
 
 test('a poll from before an outage does not end it, however late it arrives', () => {
@@ -69,8 +69,8 @@
   startOutage(queue);
   clock.jump(1500);
   queue.noteCompletePoll();
-  assert.equal(queue.outage.isOut(clock.nowMs()), true);
+  assert.equal(queue.outage.isDown(clock.nowMs()), true);
   countedAtMs = clock.nowMs();
   queue.noteCompletePoll();
-  assert.equal(queue.outage.isOut(clock.nowMs()), false);
+  assert.equal(queue.outage.isDown(clock.nowMs()), false);
 });
--- a/test/gateway/stream.test.ts
+++ b/test/gateway/stream.test.ts
@@ -13,8 +13,8 @@
 } from '../../fakes/raw-endpoint/index.js';
 import type { PublishedEndpoint } from '../../src/core/published/index.js';
 import { EventSplitter } from '../../src/gateway/event-splitter.js';
-import type { EngineSight } from '../../src/gateway/group-status.js';
-import { config, endpoint, route, startGateway, type GatewayUnderTest } from './harness.js';
+import type { EngineStatus } from '../../src/gateway/group-status.js';
+import { config, endpoint, route, startGateway, type TestGateway } from './harness.js';
 
 const STREAM_ROUTE = route({
   kind: 'stream',
@@ -41,7 +41,7 @@
 
 async function withStreamEndpoints(
   answers: readonly RawAnswer[],
-  run: (testGateway: GatewayUnderTest, endpoints: readonly RawEndpoint[]) => Promise<void>,
+  run: (testGateway: TestGateway, endpoints: readonly RawEndpoint[]) => Promise<void>,
   resumable = true,
 ): Promise<void> {
   const endpoints = await Promise.all(answers.map((answer) => startRawEndpoint(answer)));
@@ -85,7 +85,7 @@
   };
   await withStreamEndpoints([pacedAnswer], async (testGateway) => {
     // The second event is sent only after the caller has received the first; buffering would hang.
-    const response = await testGateway.ask('q-1', {
+    const response = await testGateway.send('q-1', {
       onBody: (body) => {
         if (body === event(1)) sendSecond();
       },
@@ -94,7 +94,7 @@
       [response.status, response.body, response.complete],
       [200, events(1, 2), true],
     );
-    const line = testGateway.lines.find((l) => l.fields['request'] === 'q-1');
+    const line = testGateway.logLines.find((l) => l.fields['request'] === 'q-1');
     assert.equal(typeof line?.fields['firstMs'], 'number');
   });
 });
@@ -123,7 +123,7 @@
       sendEvents(4, 5, endStream)(req);
     };
     await withStreamEndpoints([answer, answer], async (testGateway, endpoints) => {
-      const response = await testGateway.ask('q-1');
+      const response = await testGateway.send('q-1');
       assert.deepEqual(
         [response.status, response.body, response.complete],
         [200, events(1, 5), true],
@@ -135,13 +135,13 @@
 
 test('a stream that cannot be resumed never looks complete', async () => {
   await withStreamEndpoints([sendEvents(1, 3, resetConnection)], async (testGateway) => {
-    const response = await testGateway.ask('q-1');
+    const response = await testGateway.send('q-1');
     assert.deepEqual([response.body, response.complete], [events(1, 3), false]);
   });
   await withStreamEndpoints(
     [sendEvents(1, 3, resetConnection), sendEvents(1, 3, resetConnection)],
     async (testGateway, endpoints) => {
-      const response = await testGateway.ask('q-1');
+      const response = await testGateway.send('q-1');
       assert.equal(response.complete, false);
       assert.equal(
         endpoints.reduce((n, e) => n + e.requests.length, 0),
@@ -158,7 +158,7 @@
     sendEvents(13, 14, endStream)(req);
   };
   await withStreamEndpoints([answer], async (testGateway) => {
-    const response = await testGateway.ask('q-1', { headers: { 'last-event-id': '12' } });
+    const response = await testGateway.send('q-1', { headers: { 'last-event-id': '12' } });
     assert.equal(response.body, events(13, 14));
   });
 });
@@ -171,7 +171,7 @@
     sendEvents(1, 2, () => undefined)(req);
   };
   await withStreamEndpoints([answer, answer], async (testGateway) => {
-    const response = await testGateway.ask('q-1');
+    const response = await testGateway.send('q-1');
     assert.deepEqual([response.body, response.complete], [events(1, 4), true]);
   });
 });
@@ -184,7 +184,7 @@
     req.socket.on('close', () => clearInterval(timer));
   };
   await withStreamEndpoints([endless], async (testGateway) => {
-    const response = await testGateway.ask('q-1');
+    const response = await testGateway.send('q-1');
     assert.equal(response.complete, false);
     assert.ok(response.tookMs < 2100, `${response.tookMs} ms`);
   });
@@ -197,7 +197,7 @@
     req.socket.on('close', () => (closed = true));
   };
   await withStreamEndpoints([answer], async (testGateway) => {
-    await testGateway.ask('q-1', { disconnectAfterMs: 80 });
+    await testGateway.send('q-1', { disconnectAfterMs: 80 });
     await wait(80);
     assert.ok(closed);
     assert.equal(testGateway.gateway.running(), 0);
@@ -217,14 +217,14 @@
     ),
   );
   const listed = [endpoint('e-0', slow.address), endpoint('e-1', backingOff.address)];
-  const sightOf = (e: PublishedEndpoint): EngineSight => ({
+  const sightOf = (e: PublishedEndpoint): EngineStatus => ({
     load: 0,
     pace: e.id === 'e-0' ? pace : 1,
   });
-  const testGateway = await startGateway(config([STREAM_ROUTE]), listed, { sightOf });
+  const testGateway = await startGateway(config([STREAM_ROUTE]), listed, { statusOf: sightOf });
   try {
-    while (backingOff.requests.length === 0) await testGateway.ask(`q-${slow.requests.length}`);
-    const response = testGateway.ask('q-slow');
+    while (backingOff.requests.length === 0) await testGateway.send(`q-${slow.requests.length}`);
+    const response = testGateway.send('q-slow');
     setTimeout(() => (pace = 3), 75);
     const { body, complete } = await response;
     assert.equal(body, events(1, 6));
--- a/test/group/coordinator-simulation.ts
+++ b/test/group/coordinator-simulation.ts
@@ -4,7 +4,7 @@
  */
 import { RankGroup, VirtualTime } from '../../fakes/rank-engine/index.js';
 import { seededRandom } from '../../src/core/clock/index.js';
-import { RankGate, type RankOrder, type RankReply } from '../../src/core/groups/index.js';
+import { SwitchParticipant, type RankOrder, type RankReply } from '../../src/core/groups/index.js';
 import { asId } from '../../src/core/ids/index.js';
 import { silentLog } from '../../src/core/logging/index.js';
 import { Metrics } from '../../src/core/metrics/index.js';
@@ -107,8 +107,8 @@
       },
     };
   };
-  const makeGate = (rank: number, incarnation: string, isLocal: boolean): RankGate =>
-    new RankGate(
+  const makeGate = (rank: number, incarnation: string, isLocal: boolean): SwitchParticipant =>
+    new SwitchParticipant(
       asId(incarnation),
       createSwitchEngine({
         calls: isLocal ? frozenCalls(rank) : group.calls(rank),
@@ -150,7 +150,7 @@
   const serveRank = async (rank: number, order: RankOrder): Promise<RankReply> => {
     if (order.kind === 'look' && order.from !== undefined) elections[rank]?.recordPoll(order.from);
     await time.sleep(order.kind === 'look' ? 0 : (options.orderMs?.(rank, time.nowMs()) ?? 0));
-    const reply = await (gates[rank] as RankGate).serve(order);
+    const reply = await (gates[rank] as SwitchParticipant).serve(order);
     return { ...reply, heard: elections[rank]?.recentPollerExcept(order.from) };
   };
   const callFrom =
@@ -201,7 +201,7 @@
       engine: () => ENGINE,
       callAll: (...args) => (fanOuts[coordinator] as FanOut).callAll(...args),
       callEngineDirectly: (address, order) =>
-        (directGates[addresses.indexOf(address)] as RankGate).serve(order),
+        (directGates[addresses.indexOf(address)] as SwitchParticipant).serve(order),
       clock: time,
       pause: time.sleep,
       random,
--- a/test/group/switch-simulation.ts
+++ b/test/group/switch-simulation.ts
@@ -5,7 +5,7 @@
 import {
   callEachRank,
   nextEpoch,
-  RankGate,
+  SwitchParticipant,
   runSwitch,
   type RankOrder,
   type RankReply,
@@ -62,7 +62,7 @@
     ...options,
   });
   let gateCount = 0;
-  const makeGate = (rank: number): RankGate => {
+  const makeGate = (rank: number): SwitchParticipant => {
     gateCount += 1;
     const deps = {
       calls: group.calls(rank),
@@ -71,7 +71,11 @@
       pause: time.sleep,
       isLocal: true,
     };
-    return new RankGate(asId(`incarnation-${gateCount}`), createSwitchEngine(deps), () => rank);
+    return new SwitchParticipant(
+      asId(`incarnation-${gateCount}`),
+      createSwitchEngine(deps),
+      () => rank,
+    );
   };
   const gates = Array.from({ length: RANKS }, (_, rank) => makeGate(rank));
   const isLost = (): boolean => inFaultPhase() && random() < faults.lostShare;
@@ -81,7 +85,7 @@
     if (isLost()) throw new Error('request lost');
     // A request of a killed coordinator that has not been read is lost with its connection.
     if (killsAtSend !== kills) throw new Error('the process was killed');
-    const reply = await (gates[rank] as RankGate).serve(order);
+    const reply = await (gates[rank] as SwitchParticipant).serve(order);
     if (isLost()) throw new Error('reply lost');
     return reply;
   };
--- a/test/platform/boot-file.test.ts
+++ b/test/platform/boot-file.test.ts
@@ -12,8 +12,8 @@
   assert.equal(settings.instance, 'front-a-1');
   assert.deepEqual(settings.callers, { host: '127.0.0.1', port: 8227 });
   assert.equal(settings.internalPort, 7340);
-  assert.equal(settings.gateway.keyProofMs, 5000);
-  assert.equal(settings.stopMs, 8000);
+  assert.equal(settings.gateway.keyFreshnessMs, 5000);
+  assert.equal(settings.stopGraceMs, 8000);
   assert.equal(settings.retryShare, 0.2);
   assert.equal(settings.gateway.retryExtra, 90);
   assert.equal(settings.gateway.retryWindowMs, 10_000);
@@ -25,7 +25,7 @@
 });
 
 test('keys count without an end only where the file says that they need not fail closed', () => {
-  const keyProofMs = (text: string): number => decode(text).unwrap().gateway.keyProofMs;
+  const keyProofMs = (text: string): number => decode(text).unwrap().gateway.keyFreshnessMs;
   assert.equal(keyProofMs(bootText({ 'fail-closed': 'false' })), Number.POSITIVE_INFINITY);
   assert.equal(keyProofMs(bootText().replace(/^fail-closed.*$/m, '')), 5000);
 });
--- a/test/soak/silent-connections.test.ts
+++ b/test/soak/silent-connections.test.ts
@@ -71,14 +71,14 @@
   );
   const listed = links.map(({ port }, i) => endpoint(`e-${i}`, `${HOST}:${port}`));
   const under = await startGateway(config([route({ targetMs: 100, maxAttempts: 2 })]), listed);
-  for (let i = 0; i < 4; i += 1) assert.equal((await under.ask(`q-${i}`)).status, 200);
+  for (let i = 0; i < 4; i += 1) assert.equal((await under.send(`q-${i}`)).status, 200);
   links[0]?.proxy.silence();
   for (let i = 4; i < 8; i += 1) {
-    const got = await under.ask(`q-${i}`);
+    const got = await under.send(`q-${i}`);
     assert.equal(got.status, 200);
     assert.ok(got.tookMs < 400, `${got.tookMs} ms`);
   }
-  for (let i = 8; i < 12; i += 1) assert.ok((await under.ask(`q-${i}`)).tookMs < 100);
+  for (let i = 8; i < 12; i += 1) assert.ok((await under.send(`q-${i}`)).tookMs < 100);
   under.close();
   for (const { proxy } of links) proxy.close();
   for (const each of raw) each.close();
@@ -96,14 +96,14 @@
   const cfg = config([route({ kind: 'once', timeoutMs: 300 })]);
   const under = await startGateway(cfg, [endpoint('e-1', `${HOST}:${port}`)]);
   try {
-    const first = await Promise.all([1, 2, 3, 4, 5].map((i) => under.ask(`first-${i}`)));
+    const first = await Promise.all([1, 2, 3, 4, 5].map((i) => under.send(`first-${i}`)));
     assert.deepEqual(
       first.map((got) => got.status),
       [200, 200, 200, 200, 200],
     );
     proxy.silence();
-    assert.equal((await under.ask('lost')).status, 504);
-    const later = await Promise.all([1, 2, 3, 4, 5].map((i) => under.ask(`later-${i}`)));
+    assert.equal((await under.send('lost')).status, 504);
+    const later = await Promise.all([1, 2, 3, 4, 5].map((i) => under.send(`later-${i}`)));
     assert.deepEqual(
       later.map((got) => got.status),
       [200, 200, 200, 200, 200],
