--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,4 +1,4 @@
-export { applyLeaving as takeLeaving } from './backpressure-signals.js';
+export { applyLeaving } from './backpressure-signals.js';
 export * from './context.js';
 export * from './gateway.js';
 export { shareOf } from './limit-shares.js';
--- a/test/core/backpressure/parse-signals.test.ts
+++ b/test/core/backpressure/parse-signals.test.ts
@@ -12,7 +12,7 @@
   assert.equal(parseSignals(200, { ...NOTHING, leaving: '1' }).isLeaving, true);
   assert.equal(parseSignals(200, { ...NOTHING, limit: '0.75' }).limitPerS, 0.75);
   assert.deepEqual(parseSignals(200, NOTHING), {
-    restMs: undefined,
+    backoffMs: undefined,
     isLeaving: false,
     limitPerS: undefined,
     unreadable: [],
--- a/test/gateway/backpressure-signals.test.ts
+++ b/test/gateway/backpressure-signals.test.ts
@@ -13,7 +13,7 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import type { RateLimiter } from '../../src/core/backpressure/index.js';
 import type { EndpointProcess } from '../../src/generated/messages.types.js';
-import { takeLeaving } from '../../src/gateway/index.js';
+import { applyLeaving } from '../../src/gateway/index.js';
 import {
   maxAllowedInLimitWindow,
   announceLeaving,
@@ -56,7 +56,7 @@
   const listed = endpoints.map(({ address }, i) => endpoint(`e-${i}`, address));
   const gateways: TestGateway[] = [];
   const tellLeaving = (process: EndpointProcess): void => {
-    for (const { ctx } of gateways) takeLeaving(ctx, { from: 'other', leaving: [process] });
+    for (const { ctx } of gateways) applyLeaving(ctx, { from: 'other', leaving: [process] });
   };
   for (let i = 0; i < size.entries; i += 1)
     gateways.push(await startGateway(config([route()]), listed, { broadcastLeaving: tellLeaving }));
--- a/test/gateway/buffered-response.test.ts
+++ b/test/gateway/buffered-response.test.ts
@@ -373,9 +373,9 @@
 });
 
 /** Starts a gateway whose configuration was last confirmed a minute ago. */
-async function startWithStaleConfig(keyProofMs: number, address: string): Promise<TestGateway> {
+async function startWithStaleConfig(keyFreshnessMs: number, address: string): Promise<TestGateway> {
   const endpoints = [endpoint('e-0', address)];
-  const settings = { ...TEST_SETTINGS, keyProofMs };
+  const settings = { ...TEST_SETTINGS, keyFreshnessMs };
   let clockOffsetMs = 0;
   const clock = { ...systemClock, nowMs: () => systemClock.nowMs() + clockOffsetMs };
   const testGateway = await startGateway(config([route()]), endpoints, { clock, settings });
