--- a/bench/soak/callers.ts
+++ b/bench/soak/callers.ts
@@ -1,38 +1,41 @@
-/** Callers: they go to entries that say they are ready, keep their connections, and sometimes leave. */
+/**
+ * Simulated callers: they use ready entries, keep connections alive, and sometimes disconnect
+ * early.
+ */
 import http from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { entryAddress, KEYS, type Deployment, type SoakInstance } from './deployment.js';
 import { pick } from './faults.js';
-import type { Ask, AskKind } from './record.js';
+import type { CallerRequest, RequestKind } from './record.js';
 
-/** Pause between two requests, ms. */
-const PAUSE_MS = 25;
-/** How often entries are asked whether they are ready, ms; the platform's pages say once a second. */
-const READY_PAUSE_MS = 1000;
-const READY_MS = 800;
-/** Time that a caller waits, ms. */
+/** Mean interval between requests, ms. */
+const REQUEST_INTERVAL_MS = 25;
+/** Interval of readiness probes, ms; the platform documents one per second. */
+const READINESS_POLL_MS = 1000;
+const READINESS_TIMEOUT_MS = 800;
+/** Deadline that callers send with each request, ms. */
 const DEADLINE_MS = 3000;
-/** Share of callers that leave before they have their answer. */
-const LEAVING_SHARE = 0.03;
-/** Share of requests with a key that never was one. */
+/** Share of callers that disconnect before the response is complete. */
+const DISCONNECT_SHARE = 0.03;
+/** Share of requests with a key that was never issued. */
 const UNKNOWN_KEY_SHARE = 0.02;
-/** Share of requests that crash what runs them, while there are such. */
+/** Share of requests that crash the endpoint, in scenarios that have such requests. */
 const CRASHING_SHARE = 0.06;
-/** Connections that a caller keeps to one entry. */
-const CONNECTIONS = 16;
+/** Maximum connections to one entry. */
+const MAX_CONNECTIONS_PER_ENTRY = 16;
 
-const PREFIX: Readonly<Record<AskKind, string>> = {
+const PREFIX: Readonly<Record<RequestKind, string>> = {
   once: '/once/',
   repeatable: '/again/',
   stream: '/stream/',
 };
-const KINDS: readonly AskKind[] = ['once', 'repeatable', 'stream', 'stream'];
+const KINDS: readonly RequestKind[] = ['once', 'repeatable', 'stream', 'stream'];
 
 function isReady(entry: SoakInstance): Promise<boolean> {
   const { host, port } = entryAddress(entry).ready;
   return new Promise((resolve) => {
     const req = http.get(
-      { host, port, path: '/harrierglade/readiness', agent: false, timeout: READY_MS },
+      { host, port, path: '/harrierglade/readiness', agent: false, timeout: READINESS_TIMEOUT_MS },
       (res) => {
         res.resume();
         resolve(res.statusCode === 200);
@@ -43,7 +46,7 @@
   });
 }
 
-/** Callers of one deployment. */
+/** Sends requests to the entries of one deployment and records their outcomes. */
 export class Callers {
   private readonly agents = new Map<string, http.Agent>();
   private ready: SoakInstance[] = [];
@@ -55,22 +58,22 @@
     private readonly random: () => number,
   ) {}
 
-  /** Asks on until `stop`. */
+  /** Sends requests until `stop`. */
   async run(): Promise<void> {
-    await Promise.all([this.watchReady(), this.askOn()]);
+    await Promise.all([this.pollReadiness(), this.sendRequests()]);
   }
 
-  /** Ends all connections; what is not answered by now never is. */
+  /** Closes all connections; pending requests get no response. */
   close(): void {
     for (const agent of this.agents.values()) agent.destroy();
   }
 
-  /** Ends asking; what was sent may still be answered. */
+  /** Stops sending; responses to pending requests are still recorded. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Resolves once an entry is ready. */
+  /** Waits until all entries are ready; false after `withinMs`. */
   async untilReady(withinMs: number): Promise<boolean> {
     const untilMs = performance.now() + withinMs;
     while (performance.now() < untilMs) {
@@ -80,34 +83,34 @@
     return false;
   }
 
-  private async watchReady(): Promise<void> {
+  private async pollReadiness(): Promise<void> {
     while (!this.isStopped) {
       const { entries } = this.deployment;
       const answers = await Promise.all(entries.map(isReady));
       const ready = entries.filter((_, i) => answers[i]);
-      // With no entry ready the platform uses all of them.
+      // Like the platform, uses all entries if none is ready.
       this.ready = ready.length > 0 ? ready : [...entries];
-      await sleep(READY_PAUSE_MS);
+      await sleep(READINESS_POLL_MS);
     }
   }
 
-  private async askOn(): Promise<void> {
+  private async sendRequests(): Promise<void> {
     while (!this.isStopped) {
-      if (this.ready.length > 0 && !this.deployment.isQuiet)
-        this.ask(pick(this.ready, this.random));
-      const pauseMs = PAUSE_MS * (0.5 + this.random());
+      if (this.ready.length > 0 && !this.deployment.areCallersPaused)
+        this.send(pick(this.ready, this.random));
+      const pauseMs = REQUEST_INTERVAL_MS * (0.5 + this.random());
       await sleep(pauseMs);
     }
   }
 
-  private nextAsk(entry: SoakInstance): Ask {
+  private nextRequest(entry: SoakInstance): CallerRequest {
     this.sequence += 1;
     const id = `q-${this.sequence}`;
     const { crashingPaths, config } = this.deployment;
     if (crashingPaths.length > 0 && this.random() < CRASHING_SHARE)
-      return this.crashingAsk(entry, id, pick(crashingPaths, this.random));
-    const { extraRoutes, pastRoutes } = config;
-    const extra = [...extraRoutes, ...pastRoutes];
+      return this.crashingRequest(entry, id, pick(crashingPaths, this.random));
+    const { extraRoutes, removedRoutes } = config;
+    const extra = [...extraRoutes, ...removedRoutes];
     const kind = pick(KINDS, this.random);
     const isExtra = kind === 'repeatable' && extra.length > 0 && this.random() < 0.5;
     const prefix = isExtra ? `/${pick(extra, this.random)}/` : PREFIX[kind];
@@ -120,12 +123,12 @@
       key: isKnown ? pick(KEYS, this.random) : 'k-never',
       entry: entry.name,
       sentAtMs: this.deployment.nowMs(),
-      end: undefined,
+      outcome: undefined,
     };
   }
 
-  /** The same request as ever, but for its id. */
-  private crashingAsk(entry: SoakInstance, id: string, path: string): Ask {
+  /** A request that crashes endpoints; all of one path are identical except for their IDs. */
+  private crashingRequest(entry: SoakInstance, id: string, path: string): CallerRequest {
     const sentAtMs = this.deployment.nowMs();
     const key = KEYS[0] ?? '';
     return {
@@ -136,29 +139,29 @@
       key,
       entry: entry.name,
       sentAtMs,
-      end: undefined,
+      outcome: undefined,
     };
   }
 
   private agentOf(entry: SoakInstance): http.Agent {
     const known = this.agents.get(entry.name);
     if (known) return known;
-    const made = new http.Agent({ keepAlive: true, maxSockets: CONNECTIONS });
-    this.agents.set(entry.name, made);
-    return made;
+    const agent = new http.Agent({ keepAlive: true, maxSockets: MAX_CONNECTIONS_PER_ENTRY });
+    this.agents.set(entry.name, agent);
+    return agent;
   }
 
-  private ask(entry: SoakInstance): void {
-    const ask = this.nextAsk(entry);
-    this.deployment.asks.push(ask);
-    const isLeaving = this.random() < LEAVING_SHARE;
+  private send(entry: SoakInstance): void {
+    const request = this.nextRequest(entry);
+    this.deployment.requests.push(request);
+    const willDisconnect = this.random() < DISCONNECT_SHARE;
     const { host, port } = entryAddress(entry).callers;
     let body = '';
     let head: http.IncomingMessage | undefined;
-    const end = (): void => {
-      // Who left has no answer to judge.
-      if (isLeaving || ask.end) return;
-      ask.end = {
+    const recordOutcome = (): void => {
+      // A caller that disconnected has no response to check.
+      if (willDisconnect || request.outcome) return;
+      request.outcome = {
         atMs: this.deployment.nowMs(),
         status: head?.statusCode ?? 0,
         isSigned: head?.headers['x-server-stamp'] !== undefined,
@@ -171,26 +174,26 @@
         host,
         port,
         method: 'POST',
-        path: ask.path,
+        path: request.path,
         agent: this.agentOf(entry),
         headers: {
           host: 'soak.example',
-          'x-request-id': ask.id,
+          'x-request-id': request.id,
           'x-deadline-ms': String(DEADLINE_MS),
-          authorization: `Bearer ${ask.key}`,
+          authorization: `Bearer ${request.key}`,
         },
       },
       (res) => {
         head = res;
         res.on('data', (piece: Buffer) => (body += piece.toString('latin1')));
         res.on('error', () => undefined);
-        res.on('close', end);
+        res.on('close', recordOutcome);
       },
     );
-    req.on('error', end);
-    req.on('close', end);
+    req.on('error', recordOutcome);
+    req.on('close', recordOutcome);
     req.setTimeout(2 * DEADLINE_MS, () => req.destroy());
-    req.end(ask.body);
-    if (isLeaving) setTimeout(() => req.destroy(), 100 * this.random());
+    req.end(request.body);
+    if (willDisconnect) setTimeout(() => req.destroy(), 100 * this.random());
   }
 }
--- a/bench/soak/check.ts
+++ b/bench/soak/check.ts
@@ -1,79 +1,84 @@
 /**
- * Decides from the record of a run alone whether the promises were kept. Each promise is one function that
- * lists its violations in words; a run is clean when there are none.
+ * Checks the record of a run against the guarantees. Each guarantee is a function that returns its
+ * violations as text; a run is clean if there are none.
  */
-import { asksAreHeeded } from './asks-check.js';
+import { checkBackpressure } from './backpressure-check.js';
 import { eventData, plainAnswer, STREAM_EVENTS } from '../../fakes/platform-engine/index.js';
-import type { Ask, Disturbance, SoakRecord } from './record.js';
+import type { CallerRequest, Disturbance, SoakRecord } from './record.js';
 
-/** Statuses that promise that a request has not run and never will. */
-const NOT_RUN = new Set([408, 421, 429, 503]);
-/** Status of a request whose route is not known. */
-const NO_ROUTE = 404;
-/** Time after which a key that was taken away must not run, ms; `revoke-ms` of the boot file. */
+/** Statuses that guarantee that a request has not run and never will. */
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
+const ROUTE_UNKNOWN_STATUS = 404;
+/** Time after which requests with a removed key must not run, ms; `revoke-ms` of the boot file. */
 export const REVOKE_MS = 5000;
-/** Time after which an endpoint that leaves or a route that is gone gets nothing, ms. */
+/** Time after which a leaving endpoint or a removed route must get no requests, ms. */
 const APPLY_MS = 2000;
-/** Span without disturbance after which an instance is bound by what was published, ms. */
+/** Time without disturbance after which an instance must act on the published state, ms. */
 const CONTACT_MS = 3000;
-/** Longest time for which a group may stand still, ms: a silent agent is acted for within 1.5 s. */
-const HOLD_MS = 4000;
-/** Time after the last disturbance from which requests must be served again, ms. */
+/** Longest time a group may stall, ms: others act for an unresponsive agent within 1.5 s. */
+const MAX_HOLD_MS = 4000;
+/** Time after the last disturbance by which requests must be served again, ms. */
 const RECOVERY_MS = 3500;
-/** Share of the requests sent after that which must be served. */
+/** Share of requests sent after RECOVERY_MS that must be served. */
 const RECOVERED_SHARE = 0.9;
 
-type PromiseCheck = (record: SoakRecord) => string[];
+type Guarantee = (record: SoakRecord) => string[];
 
-function isSuccess(ask: Ask): boolean {
-  const status = ask.end?.status ?? 0;
+function isSuccess(request: CallerRequest): boolean {
+  const status = request.outcome?.status ?? 0;
   return status >= 200 && status < 300;
 }
 
-/** Whether a disturbance struck a target, or everything, at some time of a span. */
+/** Whether a matching disturbance of one of the targets overlaps a time span. */
 function isDisturbed(
   record: SoakRecord,
   targets: readonly string[],
   fromMs: number,
   untilMs: number,
-  isMeant: (d: Disturbance) => boolean = () => true,
+  matches: (d: Disturbance) => boolean = () => true,
 ): boolean {
   return record.disturbances.some(
-    (d) => targets.includes(d.target) && d.fromMs < untilMs && d.untilMs > fromMs && isMeant(d),
+    (d) => targets.includes(d.target) && d.fromMs < untilMs && d.untilMs > fromMs && matches(d),
   );
 }
 
-/** The stream that a caller must have got: whole, or its beginning. */
-function isOwnStream(ask: Ask, body: string, isComplete: boolean): boolean {
+/**
+ * Whether a caller got its own stream: all of it if complete, otherwise a prefix of whole events.
+ */
+function isExpectedStream(request: CallerRequest, body: string, isComplete: boolean): boolean {
   const events = Array.from(
     { length: STREAM_EVENTS },
-    (_, i) => `id: ${i + 1}\ndata: ${eventData(ask.id, i + 1)}\n\n`,
+    (_, i) => `id: ${i + 1}\ndata: ${eventData(request.id, i + 1)}\n\n`,
   );
-  const whole = events.join('');
+  const expected = events.join('');
   return isComplete
-    ? body === whole
-    : whole.startsWith(body.slice(0, body.lastIndexOf('\n\n') + 2));
+    ? body === expected
+    : expected.startsWith(body.slice(0, body.lastIndexOf('\n\n') + 2));
 }
 
-const answersAreWholeAndOwn: PromiseCheck = ({ asks }) =>
-  asks.filter(isSuccess).flatMap((ask) => {
-    const { body, isComplete, isSigned } = ask.end ?? { body: '', isComplete: false };
-    if (!isSigned) return [`${ask.id}: a success without signature`];
-    if (ask.kind === 'stream')
-      return isOwnStream(ask, body, isComplete) ? [] : [`${ask.id}: not its own stream`];
-    if (isComplete && body !== plainAnswer(ask.id)) return [`${ask.id}: not its own answer`];
+const answersMatchRequests: Guarantee = ({ requests }) =>
+  requests.filter(isSuccess).flatMap((request) => {
+    const { body, isComplete, isSigned } = request.outcome ?? { body: '', isComplete: false };
+    if (!isSigned) return [`${request.id}: success without signature`];
+    if (request.kind === 'stream')
+      return isExpectedStream(request, body, isComplete)
+        ? []
+        : [`${request.id}: not its own stream`];
+    if (isComplete && body !== plainAnswer(request.id))
+      return [`${request.id}: not its own answer`];
     return [];
   });
 
-const runsWereAskedFor: PromiseCheck = (record) => {
-  const asks = new Map(record.asks.map((ask) => [ask.id, ask]));
+const runsMatchRequests: Guarantee = (record) => {
+  const requests = new Map(record.requests.map((request) => [request.id, request]));
   return record.runs.flatMap((run) => {
-    const ask = asks.get(run.requestId);
-    if (!ask) return [`${run.requestId}: ran at ${run.endpoint}, no caller sent it`];
-    if (run.path !== ask.path || run.body !== ask.body) return [`${ask.id}: ran altered`];
-    const organisation = record.organisations[ask.key];
-    if (organisation === undefined) return [`${ask.id}: ran with a key that never was one`];
-    return run.organisation === organisation ? [] : [`${ask.id}: ran as ${run.organisation}`];
+    const request = requests.get(run.requestId);
+    if (!request) return [`${run.requestId}: ran at ${run.endpoint}, but no caller sent it`];
+    if (run.path !== request.path || run.body !== request.body)
+      return [`${request.id}: ran altered, path or body differs from the request`];
+    const organisation = record.organisations[request.key];
+    if (organisation === undefined) return [`${request.id}: ran with a key that never was one`];
+    return run.organisation === organisation ? [] : [`${request.id}: ran as ${run.organisation}`];
   });
 };
 
@@ -83,170 +88,199 @@
   return counts;
 }
 
-const onceMeansOnce: PromiseCheck = (record) => {
+const onceRequestsRunOnce: Guarantee = (record) => {
   const counts = runsById(record);
-  return record.asks
-    .filter((ask) => ask.kind === 'once' && (counts.get(ask.id) ?? 0) > 1)
-    .map((ask) => `${ask.id}: ran ${counts.get(ask.id)} times`);
+  return record.requests
+    .filter((request) => request.kind === 'once' && (counts.get(request.id) ?? 0) > 1)
+    .map((request) => `${request.id}: ran ${counts.get(request.id)} times`);
 };
 
-const refusalsAreTrue: PromiseCheck = (record) => {
+const refusedRequestsDoNotRun: Guarantee = (record) => {
   const counts = runsById(record);
-  return record.asks
-    .filter((ask) => ask.kind === 'once' && NOT_RUN.has(ask.end?.status ?? 0))
-    .filter((ask) => counts.has(ask.id))
-    .map((ask) => `${ask.id}: answered ${ask.end?.status}, and ran`);
+  return record.requests
+    .filter(
+      (request) => request.kind === 'once' && NOT_RUN_STATUSES.has(request.outcome?.status ?? 0),
+    )
+    .filter((request) => counts.has(request.id))
+    .map((request) => `${request.id}: answered ${request.outcome?.status}, and ran`);
 };
 
-const keysEnd: PromiseCheck = (record) => {
-  const ended = new Map(
-    record.withdrawals.filter((w) => w.what === 'key').map((w) => [w.name, w.atMs]),
+const removedKeysAreRejected: Guarantee = (record) => {
+  const removedAtMs = new Map(
+    record.removals
+      .filter((removal) => removal.resource === 'key')
+      .map((removal) => [removal.name, removal.atMs]),
   );
   const ran = new Set(record.runs.map((run) => run.requestId));
-  return record.asks
-    .filter((ask) => ask.sentAtMs > (ended.get(ask.key) ?? Infinity) + REVOKE_MS)
-    .filter((ask) => ran.has(ask.id))
-    .map((ask) => `${ask.id}: ran with key ${ask.key} after it was taken away`);
+  return record.requests
+    .filter((request) => request.sentAtMs > (removedAtMs.get(request.key) ?? Infinity) + REVOKE_MS)
+    .filter((request) => ran.has(request.id))
+    .map((request) => `${request.id}: ran with key ${request.key} after it was taken away`);
 };
 
-/** Whether an entry had been undisturbed for long enough to be bound by what was published. */
-function isBound(record: SoakRecord, entry: string, atMs: number): boolean {
+/**
+ * Whether an entry had been undisturbed for long enough that it must act on the published state.
+ */
+function mustBeUpToDate(record: SoakRecord, entry: string, atMs: number): boolean {
   return !isDisturbed(record, [entry, 'store'], atMs - CONTACT_MS, atMs);
 }
 
-const withdrawnTakesNothing: PromiseCheck = (record) => {
-  const asks = new Map(record.asks.map((ask) => [ask.id, ask]));
-  return record.withdrawals.flatMap(({ what, name, atMs }) =>
+const removedTargetsGetNothing: Guarantee = (record) => {
+  const requests = new Map(record.requests.map((request) => [request.id, request]));
+  return record.removals.flatMap(({ resource, name, atMs }) =>
     record.runs
-      .filter((run) => (what === 'endpoint' ? run.endpoint === name : run.path.startsWith(name)))
+      .filter((run) =>
+        resource === 'endpoint' ? run.endpoint === name : run.path.startsWith(name),
+      )
       .filter((run) => {
-        const ask = asks.get(run.requestId);
-        if (what === 'key' || !ask) return false;
-        const lateFromMs = atMs + APPLY_MS;
-        // A request that is on its way may be held up by the link to the endpoint.
-        if (isDisturbed(record, [run.endpoint], lateFromMs - CONTACT_MS, run.startedAtMs))
+        const request = requests.get(run.requestId);
+        if (resource === 'key' || !request) return false;
+        const appliedByMs = atMs + APPLY_MS;
+        // A disturbed link to the endpoint may delay a request that was already sent.
+        if (isDisturbed(record, [run.endpoint], appliedByMs - CONTACT_MS, run.startedAtMs))
           return false;
-        const sentAtMs = what === 'endpoint' ? run.startedAtMs : ask.sentAtMs;
-        return sentAtMs > lateFromMs && isBound(record, ask.entry, sentAtMs);
+        const sentAtMs = resource === 'endpoint' ? run.startedAtMs : request.sentAtMs;
+        return sentAtMs > appliedByMs && mustBeUpToDate(record, request.entry, sentAtMs);
       })
-      .map((run) => `${run.requestId}: ran at ${what} ${name} after it was withdrawn`),
+      .map((run) => `${run.requestId}: ran at ${resource} ${name} after it was withdrawn`),
   );
 };
 
-/** A route that was added is served by entries that are bound by it. */
-const addedRoutesServe: PromiseCheck = (record) => {
-  const gone = new Map(record.withdrawals.map((w) => [w.name, w.atMs]));
-  return record.additions.flatMap(({ prefix, atMs }) =>
-    record.asks
-      .filter((ask) => ask.path.startsWith(prefix) && ask.end?.status === NO_ROUTE)
-      .filter((ask) => ask.sentAtMs > atMs + APPLY_MS && isBound(record, ask.entry, ask.sentAtMs))
-      .filter((ask) => (ask.end?.atMs ?? Infinity) < (gone.get(prefix) ?? Infinity))
-      .map((ask) => `${ask.id}: route ${prefix} was not known after it was added`),
+/** Entries that must be up to date serve an added route. */
+const addedRoutesAreServed: Guarantee = (record) => {
+  const removedAtMs = new Map(record.removals.map((removal) => [removal.name, removal.atMs]));
+  return record.addedRoutes.flatMap(({ prefix, atMs }) =>
+    record.requests
+      .filter(
+        (request) =>
+          request.path.startsWith(prefix) && request.outcome?.status === ROUTE_UNKNOWN_STATUS,
+      )
+      .filter(
+        (request) =>
+          request.sentAtMs > atMs + APPLY_MS &&
+          mustBeUpToDate(record, request.entry, request.sentAtMs),
+      )
+      .filter(
+        (request) => (request.outcome?.atMs ?? Infinity) < (removedAtMs.get(prefix) ?? Infinity),
+      )
+      .map((request) => `${request.id}: route ${prefix} was not known after it was added`),
   );
 };
 
-/** A planned stop or a re-read of settings cuts nothing that the endpoint would have answered. */
-const plannedWorkCutsNothing: PromiseCheck = (record) => {
+/** A planned stop or a settings reload cuts no response that the endpoint would have completed. */
+const plannedWorkCutsNoAnswers: Guarantee = (record) => {
   const planned = record.disturbances.filter((d) => d.kind === 'stop' || d.kind === 'hup');
   const isUnplanned = (d: Disturbance): boolean => !planned.includes(d);
   const everything = [...new Set(record.disturbances.map((d) => d.target))];
-  return record.asks
-    .filter((ask) => ask.end && !ask.end.isComplete && ask.end.status !== 0)
-    .filter((ask) =>
+  return record.requests
+    .filter(
+      (request) => request.outcome && !request.outcome.isComplete && request.outcome.status !== 0,
+    )
+    .filter((request) =>
       planned.some(
         (d) =>
-          d.target === ask.entry && d.fromMs < (ask.end?.atMs ?? 0) && d.untilMs > ask.sentAtMs,
+          d.target === request.entry &&
+          d.fromMs < (request.outcome?.atMs ?? 0) &&
+          d.untilMs > request.sentAtMs,
       ),
     )
     .filter(
-      (ask) =>
+      (request) =>
         !isDisturbed(
           record,
           everything,
-          ask.sentAtMs - CONTACT_MS,
-          ask.end?.atMs ?? 0,
+          request.sentAtMs - CONTACT_MS,
+          request.outcome?.atMs ?? 0,
           isUnplanned,
         ),
     )
-    .map((ask) => `${ask.id}: cut at ${ask.entry} by planned work`);
+    .map((request) => `${request.id}: cut at ${request.entry} by planned work (stop or reload)`);
 };
 
-/** Runs that may follow the third fall by a request, once entries are bound by what they could know of it. */
-const MOST_RUNS_AFTER = 3;
-
-const crashingRequestsEnd: PromiseCheck = ({ falls, runs }) =>
-  [...new Set(falls.map(({ path }) => path))].flatMap((path) => {
-    const third = falls.filter((fall) => fall.path === path)[2];
-    if (!third) return [];
-    const boundFromMs = third.atMs + CONTACT_MS;
-    const late = runs.filter((run) => run.path === path && run.startedAtMs > boundFromMs);
-    return late.length > MOST_RUNS_AFTER
-      ? [`${path}: ran ${late.length} times after it had crashed three endpoints`]
+/**
+ * Runs of a request allowed after its third crash, once entries have had CONTACT_MS to receive it.
+ */
+const MAX_RUNS_AFTER_CRASHES = 3;
+
+const crashingRequestsAreStopped: Guarantee = ({ crashes, runs }) =>
+  [...new Set(crashes.map(({ path }) => path))].flatMap((path) => {
+    const thirdCrash = crashes.filter((crash) => crash.path === path)[2];
+    if (!thirdCrash) return [];
+    const appliedByMs = thirdCrash.atMs + CONTACT_MS;
+    const late = runs.filter((run) => run.path === path && run.startedAtMs > appliedByMs);
+    return late.length > MAX_RUNS_AFTER_CRASHES
+      ? [`${path}: ran ${late.length} times after crashing three endpoints`]
       : [];
   });
 
-/** None but those that crash endpoints is refused as one that does. */
-const innocentAreNotRefused: PromiseCheck = ({ asks, falls }) => {
-  const crashing = new Set(falls.map(({ path }) => path));
-  return asks
-    .filter((ask) => ask.end?.body.includes('crashes-endpoints') && !crashing.has(ask.path))
-    .map((ask) => `${ask.id}: refused as one that crashes endpoints`);
+/** Only requests that crash endpoints are refused with `crashes-endpoints`. */
+const harmlessRequestsAreNotRefused: Guarantee = ({ requests, crashes }) => {
+  const crashing = new Set(crashes.map(({ path }) => path));
+  return requests
+    .filter(
+      (request) =>
+        request.outcome?.body.includes('crashes-endpoints') && !crashing.has(request.path),
+    )
+    .map((request) => `${request.id}: refused with crashes-endpoints, but crashed none`);
 };
 
-const oneMapInEveryStep: PromiseCheck = ({ mixedSteps }) =>
+const stepsUseOneMap: Guarantee = ({ mixedSteps }) =>
   mixedSteps.map((step) => `step ${step} began with two maps`);
 
-const groupsGoOn: PromiseCheck = ({ longestHoldMs }) =>
-  longestHoldMs > HOLD_MS ? [`the group stood still for ${Math.round(longestHoldMs)} ms`] : [];
+const groupsDoNotStall: Guarantee = ({ longestHoldMs }) =>
+  longestHoldMs > MAX_HOLD_MS ? [`the group stood still for ${Math.round(longestHoldMs)} ms`] : [];
 
-const processesKeepRunning: PromiseCheck = ({ badEnds }) => [...badEnds];
+const processesKeepRunning: Guarantee = ({ unexpectedExits }) => [...unexpectedExits];
 
-const serviceComesBack: PromiseCheck = ({
-  asks,
-  calmFromMs,
+const serviceRecovers: Guarantee = ({
+  requests,
+  faultsEndedAtMs,
   organisations,
-  withdrawals,
-  falls,
+  removals,
+  crashes,
 }) => {
-  const gone = new Set([...withdrawals.map((w) => w.name), ...falls.map(({ path }) => path)]);
-  const late = asks.filter(
-    (ask) =>
-      ask.sentAtMs > calmFromMs + RECOVERY_MS &&
-      ask.end !== undefined &&
-      organisations[ask.key] !== undefined &&
-      !gone.has(ask.key) &&
-      ![...gone].some((name) => ask.path.startsWith(name)),
+  const excluded = new Set([
+    ...removals.map((removal) => removal.name),
+    ...crashes.map(({ path }) => path),
+  ]);
+  const late = requests.filter(
+    (request) =>
+      request.sentAtMs > faultsEndedAtMs + RECOVERY_MS &&
+      request.outcome !== undefined &&
+      organisations[request.key] !== undefined &&
+      !excluded.has(request.key) &&
+      ![...excluded].some((name) => request.path.startsWith(name)),
   );
-  const served = late.filter((ask) => isSuccess(ask) && ask.end?.isComplete).length;
-  if (late.length === 0) return ['nothing was asked after the last disturbance'];
+  const served = late.filter((request) => isSuccess(request) && request.outcome?.isComplete).length;
+  if (late.length === 0) return ['no requests were sent after the last disturbance'];
   const share = served / late.length;
   return share < RECOVERED_SHARE
     ? [`only ${served} of ${late.length} served after the last disturbance`]
     : [];
 };
 
-const PROMISES: readonly PromiseCheck[] = [
-  answersAreWholeAndOwn,
-  runsWereAskedFor,
-  onceMeansOnce,
-  refusalsAreTrue,
-  keysEnd,
-  withdrawnTakesNothing,
-  addedRoutesServe,
-  plannedWorkCutsNothing,
-  crashingRequestsEnd,
-  asksAreHeeded,
-  innocentAreNotRefused,
-  oneMapInEveryStep,
-  groupsGoOn,
+const GUARANTEES: readonly Guarantee[] = [
+  answersMatchRequests,
+  runsMatchRequests,
+  onceRequestsRunOnce,
+  refusedRequestsDoNotRun,
+  removedKeysAreRejected,
+  removedTargetsGetNothing,
+  addedRoutesAreServed,
+  plannedWorkCutsNoAnswers,
+  crashingRequestsAreStopped,
+  checkBackpressure,
+  harmlessRequestsAreNotRefused,
+  stepsUseOneMap,
+  groupsDoNotStall,
   processesKeepRunning,
-  serviceComesBack,
+  serviceRecovers,
 ];
 
 /**
- * Violations of all promises, in words; none for a clean run.
+ * Returns the violations of all guarantees as text; none for a clean run.
  * @example if (violationsOf(record).length > 0) keepSeed(record.seed);
  */
 export function violationsOf(record: SoakRecord): string[] {
-  return PROMISES.flatMap((promise) => promise(record));
+  return GUARANTEES.flatMap((check) => check(record));
 }
--- a/bench/soak/copies.ts
+++ b/bench/soak/copies.ts
@@ -1,36 +1,48 @@
 /**
- * The store comes back from an older copy again and again: what was written since is gone, its revisions are given out again, and
- * a moment later operators and endpoints write it anew. Around it a route and a key are taken away and an endpoint leaves.
+ * Scenario `copies`: the store is restored from an older copy repeatedly. Writes since the copy are
+ * lost, their revisions are reused, and shortly later operators and endpoints write them again.
+ * Around each restore a route and a key are removed and endpoints leave.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { StoreCopy, StoreFake } from '../../fakes/store/index.js';
 import type { Deployment } from './deployment.js';
-import { addRoute, announceLeaving, during, nextLeaving, removeRoute, takeKey } from './faults.js';
+import {
+  addRoute,
+  announceLeaving,
+  recordDuring,
+  nextLeavingCandidate,
+  removeRoute,
+  removeKey,
+} from './faults.js';
 
-/** Time for a new route to be in force before it is taken away again, ms. */
+/** Time for a new route to be applied before it is removed, ms. */
 const SETTLE_MS = 2500;
-/** Longest time between the changes and the loss, ms: some daemons have heard of them by then and some have not. */
-const LATEST_LOSS_MS = 1200;
-/** Time for which the store is away, at least and at most, ms. */
-const AWAY_MS = { least: 100, most: 1200 } as const;
-/** Longest time after which what was lost is written again, ms. */
-const LATEST_REWRITE_MS = 1500;
-/** Time in which requests show what is in force, ms: a key may be honoured for 5 s. */
-const SHOW_MS = 4500;
+/**
+ * Longest time from the changes to the restore, ms: only some daemons have received them by then.
+ */
+const MAX_RESTORE_DELAY_MS = 1200;
+/** Minimum and maximum duration of the store outage, ms. */
+const OUTAGE_MS = { min: 100, max: 1200 } as const;
+/** Longest delay before lost writes are repeated, ms. */
+const MAX_REWRITE_DELAY_MS = 1500;
+/** Time in which requests show which state is applied, ms; a removed key may work for 5 s. */
+const OBSERVE_MS = 4500;
 
 /**
- * Writes again all that a store held before it came back from a copy, but for what was written since: revisions run past those
- * that were seen before.
+ * Repeats the writes that a restore lost, except for keys written since. Revisions then exceed
+ * those seen before the restore.
  */
-function rewrite(store: StoreFake, held: StoreCopy, copy: StoreCopy): void {
-  const now = store.copy().items;
-  for (const key of now.keys()) if (!held.items.has(key)) store.remove(key);
-  for (const [key, { value }] of held.items)
-    if (now.get(key)?.value === copy.items.get(key)?.value) store.putRaw(key, value);
+function rewrite(store: StoreFake, before: StoreCopy, copy: StoreCopy): void {
+  const current = store.copy().items;
+  for (const key of current.keys()) if (!before.items.has(key)) store.remove(key);
+  for (const [key, { value }] of before.items)
+    if (current.get(key)?.value === copy.items.get(key)?.value) store.putRaw(key, value);
 }
 
-/** Cuts the ways to the store, or lets them fall silent: daemons that notice a failure read everything anew. */
-function loseConnections({ entries, agents }: Deployment, isSilent: boolean): void {
+/**
+ * Resets or silences all links to the store; daemons that notice a failure read everything again.
+ */
+function disruptStoreLinks({ entries, agents }: Deployment, isSilent: boolean): void {
   for (const { storeLink } of [...entries, ...agents]) {
     if (isSilent) storeLink.silence();
     else storeLink.reset();
@@ -38,37 +50,33 @@
 }
 
 /**
- * The store is away for a moment, comes back from a copy, and what it has lost is written again, before the daemons reach it or
- * after. An endpoint begins to leave in between.
+ * Takes the store down, restores it from a copy, and repeats the lost writes before or after the
+ * daemons can reach it. An endpoint announces that it leaves in between.
  */
-function comesBackFrom(
-  deployment: Deployment,
-  random: () => number,
-  copy: StoreCopy,
-): Promise<void> {
+function restoreFrom(deployment: Deployment, random: () => number, copy: StoreCopy): Promise<void> {
   const { store } = deployment;
-  return during(deployment, 'store-copy', ['store'], async () => {
-    const held = store.copy();
-    const isReachedFirst = random() < 0.5;
+  return recordDuring(deployment, 'store-copy', ['store'], async () => {
+    const before = store.copy();
+    const isReachableBeforeRewrite = random() < 0.5;
     const isSilent = random() < 0.5;
-    loseConnections(deployment, isSilent);
+    disruptStoreLinks(deployment, isSilent);
     store.mood = isSilent ? 'silent' : 'reset';
     store.restore(copy);
-    await sleep(AWAY_MS.least + (AWAY_MS.most - AWAY_MS.least) * random());
-    if (isReachedFirst) store.mood = 'well';
-    await sleep(LATEST_REWRITE_MS * random());
-    const leaving = nextLeaving(deployment);
+    await sleep(OUTAGE_MS.min + (OUTAGE_MS.max - OUTAGE_MS.min) * random());
+    if (isReachableBeforeRewrite) store.mood = 'well';
+    await sleep(MAX_REWRITE_DELAY_MS * random());
+    const leaving = nextLeavingCandidate(deployment);
     if (leaving) announceLeaving(deployment, leaving);
-    rewrite(store, held, copy);
+    rewrite(store, before, copy);
     store.mood = 'well';
   });
 }
 
 /**
- * Lets the store come back from copies of itself while things change.
- * @example await comeBackFromCopies(deployment, random, 20_000);
+ * Restores the store from copies of itself while routes, keys and endpoints change.
+ * @example await restoreFromCopies(deployment, random, 20_000);
  */
-export async function comeBackFromCopies(
+export async function restoreFromCopies(
   deployment: Deployment,
   random: () => number,
   untilMs: number,
@@ -78,11 +86,11 @@
     await sleep(SETTLE_MS);
     const copy = deployment.store.copy();
     removeRoute(deployment, route);
-    takeKey(deployment);
-    const leaving = nextLeaving(deployment);
+    removeKey(deployment);
+    const leaving = nextLeavingCandidate(deployment);
     if (leaving) announceLeaving(deployment, leaving);
-    await sleep(LATEST_LOSS_MS * random());
-    await comesBackFrom(deployment, random, copy);
-    await sleep(SHOW_MS);
+    await sleep(MAX_RESTORE_DELAY_MS * random());
+    await restoreFrom(deployment, random, copy);
+    await sleep(OBSERVE_MS);
   }
 }
--- a/bench/soak/crashing.ts
+++ b/bench/soak/crashing.ts
@@ -1,18 +1,18 @@
 /**
- * Callers send requests that crash each endpoint that begins to run them, again and again and to any entry, among all others; and
- * endpoints fall by themselves.
+ * Scenario `crashing`: among normal traffic, callers repeatedly send requests to any entry that
+ * crash every endpoint that starts to run them. Endpoints also crash by themselves.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { FALLEN_MS, type Deployment } from './deployment.js';
-import { during } from './faults.js';
+import { CRASH_DOWNTIME_MS, type Deployment } from './deployment.js';
+import { recordDuring } from './faults.js';
 
-/** Requests that crash endpoints. */
+/** Paths of requests that crash endpoints. */
 const CRASHING_PATHS = ['/again/crash-1', '/again/crash-2', '/stream/crash-3'];
-/** Longest pause between two falls of endpoints by themselves, ms. */
-const FALL_PAUSE_MS = 1500;
+/** Longest pause between two crashes that no request causes, ms. */
+const MAX_CRASH_INTERVAL_MS = 1500;
 
 /**
- * Lets endpoints fall by themselves while crashing requests come.
+ * Crashes random endpoints while callers send crashing requests.
  * @example await crashEndpoints(deployment, random, 20_000);
  */
 export async function crashEndpoints(
@@ -23,9 +23,11 @@
   const { crashingPaths, endpoints, nowMs } = deployment;
   crashingPaths.push(...CRASHING_PATHS);
   while (nowMs() < untilMs) {
-    const falling = endpoints[Math.floor(random() * endpoints.length)];
-    if (falling)
-      await during(deployment, 'fall', [falling.id], () => falling.proxy.fall(FALLEN_MS));
-    await sleep(FALL_PAUSE_MS * random());
+    const endpoint = endpoints[Math.floor(random() * endpoints.length)];
+    if (endpoint)
+      await recordDuring(deployment, 'crash', [endpoint.id], () =>
+        endpoint.proxy.simulateCrash(CRASH_DOWNTIME_MS),
+      );
+    await sleep(MAX_CRASH_INTERVAL_MS * random());
   }
 }
--- a/bench/soak/deployment.ts
+++ b/bench/soak/deployment.ts
@@ -1,7 +1,7 @@
 /**
- * A small deployment on loopback: a store, plain endpoints, a group of model engines, entries and agents.
- * The system's programs are real processes; each reaches the store, and each endpoint is reached, through
- * a proxy of its own.
+ * A small deployment on loopback: a store, plain endpoints, a group of model engines, entries and
+ * agents. Entries and agents are real processes. Each connects to the store through its own proxy,
+ * and each endpoint is behind its own proxy.
  */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -17,54 +17,61 @@
 import { startStore, type StoreFake } from '../../fakes/store/index.js';
 import { LoopbackProxy, type Address } from './proxy.js';
 import { Program } from './program.js';
-import type { Addition, Ask, Disturbance, Fall, Need, Withdrawal } from './record.js';
+import type {
+  AddedRoute,
+  CallerRequest,
+  Disturbance,
+  EndpointCrash,
+  RateLimitPeriod,
+  Removal,
+} from './record.js';
 
-/** Ports; each instance has an address of its own. */
+/** Ports; each instance has its own address. */
 export const PORT = {
   callers: 8227,
   ready: 8220,
   control: 8229,
-  /** Where others reach an entry's control address through a proxy. */
-  relayed: 8230,
+  /** Proxy through which others reach an entry's control port. */
+  relayProxy: 8230,
   internal: 7340,
   app: 8228,
   engine: 8100,
   store: 8223,
 };
-/** Time from the signal to stop until the kill, s. */
-export const GRACE_S = 4;
-/** Time of a token step of the group, ms. */
+/** Time from SIGTERM to SIGKILL, s. */
+export const STOP_GRACE_S = 4;
+/** Duration of a token step of the group, ms. */
 const STEP_MS = 30;
-/** Time of a plain request, ms. */
+/** Duration of a plain request, ms. */
 const PLAIN_WORK_MS = 40;
-/** Time for which the store keeps idle connections, ms: long enough for a client to meet ones that fell silent. */
+/** Idle timeout of store connections, ms; long enough that clients reuse unresponsive ones. */
 const STORE_IDLE_MS = 65_000;
-/** Time for which an endpoint that fell is away, ms. */
-export const FALLEN_MS = 700;
-/** Share of a group's orders that get no answer and are carried out seconds later. */
-const LATE_ORDER_SHARE = 0.03;
+/** Downtime of a crashed endpoint, ms. */
+export const CRASH_DOWNTIME_MS = 700;
+/** Share of a group's commands that get no response and take effect seconds later. */
+const DELAYED_COMMAND_SHARE = 0.03;
 
-/** How large a deployment is. */
+/** Numbers of entries, model engines (ranks) and plain endpoints. */
 export interface SoakSize {
   readonly entries: number;
   readonly ranks: number;
   readonly plain: number;
 }
 
-/** An endpoint and the proxy before it. */
+/** An endpoint and the proxy in front of it. */
 export interface SoakEndpoint {
   readonly id: string;
   readonly service: string;
   readonly host: string;
   readonly engine: PlatformEngine;
   readonly proxy: LoopbackProxy;
-  /** What goes wrong with its next requests, oldest first. */
+  /** Faults for its next requests, in order. */
   readonly faults: EndpointFault[];
-  /** What it asks for in its answers now. */
-  asks: EngineAsks;
+  /** Backpressure signals in its responses. */
+  signals: EngineAsks;
 }
 
-/** A program and its way to the store. */
+/** A program and its link to the store. */
 export interface SoakInstance {
   readonly name: string;
   readonly host: string;
@@ -72,7 +79,7 @@
   readonly storeLink: LoopbackProxy;
 }
 
-/** Everything that runs. */
+/** A running deployment and the record of what happened to it. */
 export interface Deployment {
   readonly folder: string;
   readonly store: StoreFake;
@@ -80,54 +87,53 @@
   readonly endpoints: readonly SoakEndpoint[];
   readonly entries: readonly SoakInstance[];
   readonly agents: readonly SoakInstance[];
-  /** Ways to the entries that tell others what is published. */
+  /** Proxies to the entries that relay the published state. */
   readonly relayLinks: readonly LoopbackProxy[];
-  readonly asks: Ask[];
+  readonly requests: CallerRequest[];
   readonly disturbances: Disturbance[];
-  readonly withdrawals: Withdrawal[];
-  readonly additions: Addition[];
-  readonly falls: Fall[];
-  readonly needs: Need[];
-  /** Paths of requests that crash what runs them; callers send them among the others. */
+  readonly removals: Removal[];
+  readonly addedRoutes: AddedRoute[];
+  readonly crashes: EndpointCrash[];
+  readonly rateLimitPeriods: RateLimitPeriod[];
+  /** Paths of requests that crash endpoints; callers mix them with other requests. */
   readonly crashingPaths: string[];
-  /** Whether callers send nothing for now. */
-  isQuiet: boolean;
-  /** Ms since the start. */
+  areCallersPaused: boolean;
+  /** Time since the start of the run, ms. */
   readonly nowMs: () => number;
   publish(): void;
   readonly config: SoakConfig;
   close(): Promise<void>;
 }
 
-/** What the operators publish; a change counts from the next `publish`. */
+/** The configuration that operators publish; changes take effect at the next `publish`. */
 export interface SoakConfig {
   version: number;
   readonly keys: Set<string>;
   readonly extraRoutes: Set<string>;
-  /** Routes that were taken away; callers go on asking for them. */
-  readonly pastRoutes: Set<string>;
+  /** Removed routes; callers continue to request them. */
+  readonly removedRoutes: Set<string>;
 }
 
-/** Keys of the one organisation; `k-0` is never taken away. */
+/** API keys of the only organisation; `k-0` is never removed. */
 export const KEYS = ['k-0', 'k-1', 'k-2', 'k-3'];
 export const ORGANISATION = 'org-1';
 
-/** Addresses at which an entry listens, and their names in the boot file. */
+/** Addresses an entry listens on, and their keys in the boot file. */
 const ENTRY_ADDRESSES = ['callers', 'ready', 'control'] as const;
-const ADDRESS_NAME = { callers: 'front', ready: 'ready', control: 'control' } as const;
+const BOOT_FILE_KEY = { callers: 'front', ready: 'ready', control: 'control' } as const;
 
-/** Last part of the first entry's address. */
-const FIRST_ENTRY = 150;
-/** Entries of each so many that tell others what is published. */
-const ENTRIES_A_RELAY = 2;
+/** Last octet of the first entry's address. */
+const FIRST_ENTRY_HOST = 150;
+/** One of this many entries is a relay of the published state. */
+const ENTRIES_PER_RELAY = 2;
 
-let nextNet = 0;
+let nextSubnet = 0;
 
-/** Addresses of a deployment of its own, so that several may run side by side. */
-function netOf(): (n: number) => string {
-  nextNet += 1;
+/** Reserves a loopback subnet, so that several deployments can run in parallel. */
+function allocateSubnet(): (n: number) => string {
+  nextSubnet += 1;
   const a = 1 + (process.pid % 200);
-  const b = (Math.floor(process.pid / 200) + nextNet) % 250;
+  const b = (Math.floor(process.pid / 200) + nextSubnet) % 250;
   return (n) => `127.${a}.${b}.${n}`;
 }
 
@@ -147,11 +153,11 @@
     '[listen]',
     ...(app
       ? []
-      : ENTRY_ADDRESSES.map((kind) => `${ADDRESS_NAME[kind]} = "${host}:${PORT[kind]}"`)),
+      : ENTRY_ADDRESSES.map((kind) => `${BOOT_FILE_KEY[kind]} = "${host}:${PORT[kind]}"`)),
     '[bounds]',
     'revoke-ms = 5000',
     'config-apply-ms = 2000',
-    `grace-s = ${GRACE_S}`,
+    `grace-s = ${STOP_GRACE_S}`,
     'retry-budget-ratio = 0.2',
     'budget-window-s = 10',
     'retry-budget-extra = 480',
@@ -162,7 +168,7 @@
 }
 
 function routes(config: SoakConfig): object[] {
-  const route = (name: string, kind: string, service: string, more: object = {}): object => ({
+  const route = (name: string, kind: string, service: string, overrides: object = {}): object => ({
     name,
     host: 'soak.example',
     'path-prefix': `/${name}/`,
@@ -171,7 +177,7 @@
     'timeout-ms': 3000,
     'target-latency-ms': 500,
     'max-attempts': 2,
-    ...more,
+    ...overrides,
   });
   return [
     route('once', 'non_idempotent', 'plain'),
@@ -181,7 +187,7 @@
   ];
 }
 
-function document(config: SoakConfig): object {
+function configDocument(config: SoakConfig): object {
   return {
     version: config.version,
     routes: routes(config),
@@ -208,46 +214,51 @@
 }
 
 /**
- * Starts a deployment; callers may be sent as soon as entries are ready.
+ * Starts a deployment; requests can be sent as soon as entries are ready.
  * @example const deployment = await startDeployment({ entries: 2, ranks: 3, plain: 2 }, random);
  */
 export async function startDeployment(size: SoakSize, random: () => number): Promise<Deployment> {
   const startedAtMs = performance.now();
   const nowMs = (): number => performance.now() - startedAtMs;
   const folder = mkdtempSync(join(tmpdir(), 'harrierglade-soak-'));
-  const host = netOf();
+  const host = allocateSubnet();
   const time = new WallTime();
   const store = await startStore(STORE_IDLE_MS);
   const group = new RankGroup(time, random, {
     ranks: size.ranks,
     stepMs: STEP_MS,
     copyMs: 100,
-    lateShare: () => LATE_ORDER_SHARE,
+    lateShare: () => DELAYED_COMMAND_SHARE,
     checksFences: true,
   });
   const config: SoakConfig = {
     version: 1,
     keys: new Set(KEYS),
     extraRoutes: new Set(),
-    pastRoutes: new Set(),
+    removedRoutes: new Set(),
   };
   const storeAddress = { host: store.host, port: store.port };
-  const falls: Fall[] = [];
+  const crashes: EndpointCrash[] = [];
   const crashingPaths: string[] = [];
   const disturbances: Disturbance[] = [];
 
   async function startEndpoint(id: string, service: string, at: string): Promise<SoakEndpoint> {
     const rank = service === 'model' ? group.calls(Number(id.split('-')[1])) : undefined;
     const faults: EndpointFault[] = [];
-    const fallsBy = (path: string): boolean => {
+    const crashesOn = (path: string): boolean => {
       if (!crashingPaths.includes(path)) return false;
       const atMs = nowMs();
-      falls.push({ path, atMs });
-      disturbances.push({ kind: 'fall', target: id, fromMs: atMs, untilMs: atMs + FALLEN_MS });
-      void proxy.fall(FALLEN_MS);
+      crashes.push({ path, atMs });
+      disturbances.push({
+        kind: 'crash',
+        target: id,
+        fromMs: atMs,
+        untilMs: atMs + CRASH_DOWNTIME_MS,
+      });
+      void proxy.simulateCrash(CRASH_DOWNTIME_MS);
       return true;
     };
-    const asking: { asks: EngineAsks } = { asks: NO_ASKS };
+    const signalState: { signals: EngineAsks } = { signals: NO_ASKS };
     const engine = await startPlatformEngine({
       id,
       host: at,
@@ -255,9 +266,9 @@
       workMs: PLAIN_WORK_MS,
       rank,
       step: () => group.step,
-      fallsBy,
+      fallsBy: crashesOn,
       nextFault: () => faults.shift(),
-      asks: () => asking.asks,
+      asks: () => signalState.signals,
       random,
       nowMs,
     });
@@ -272,20 +283,25 @@
       slots: 8,
       state: 'ready',
     });
-    return Object.assign(asking, { id, service, host: at, engine, proxy, faults });
+    return Object.assign(signalState, { id, service, host: at, engine, proxy, faults });
   }
 
-  const relayHosts = Array.from({ length: Math.ceil(size.entries / ENTRIES_A_RELAY) }, (_, i) =>
-    host(FIRST_ENTRY + i),
+  const relayHosts = Array.from({ length: Math.ceil(size.entries / ENTRIES_PER_RELAY) }, (_, i) =>
+    host(FIRST_ENTRY_HOST + i),
   );
   const relayLinks: LoopbackProxy[] = [];
   for (const at of relayHosts)
     relayLinks.push(
-      await LoopbackProxy.start({ host: at, port: PORT.relayed }, { host: at, port: PORT.control }),
+      await LoopbackProxy.start(
+        { host: at, port: PORT.relayProxy },
+        { host: at, port: PORT.control },
+      ),
     );
-  /** Addresses of the relays as an instance is told them: its own, and the others' through their proxies. */
+  /**
+   * Relay addresses for an instance: its own address directly, the others through their proxies.
+   */
   const relaysFor = (own: string): string[] =>
-    relayHosts.map((at) => `${at}:${at === own ? PORT.control : PORT.relayed}`);
+    relayHosts.map((at) => `${at}:${at === own ? PORT.control : PORT.relayProxy}`);
 
   async function startInstance(
     name: string,
@@ -311,11 +327,11 @@
     endpoints.push(await startEndpoint(`model-${i}`, 'model', host(10 + i)));
   const entries: SoakInstance[] = [];
   for (let i = 0; i < size.entries; i += 1)
-    entries.push(await startInstance(`entry-${i}`, 'entry', host(FIRST_ENTRY + i)));
+    entries.push(await startInstance(`entry-${i}`, 'entry', host(FIRST_ENTRY_HOST + i)));
   const agents: SoakInstance[] = [];
   for (let i = 0; i < size.ranks; i += 1)
     agents.push(await startInstance(`agent-${i}`, 'agent', host(10 + i)));
-  store.put('op/config', document(config));
+  store.put('op/config', configDocument(config));
 
   return {
     folder,
@@ -325,22 +341,22 @@
     entries,
     agents,
     relayLinks,
-    asks: [],
+    requests: [],
     disturbances,
-    withdrawals: [],
-    additions: [],
-    falls,
-    needs: [],
+    removals: [],
+    addedRoutes: [],
+    crashes,
+    rateLimitPeriods: [],
     crashingPaths,
-    isQuiet: false,
+    areCallersPaused: false,
     nowMs,
     config,
     publish: () => {
       config.version += 1 + Math.floor(random() * 3);
-      store.put('op/config', document(config));
+      store.put('op/config', configDocument(config));
     },
     close: async () => {
-      for (const { program } of [...entries, ...agents]) program.pause(false);
+      for (const { program } of [...entries, ...agents]) program.setSuspended(false);
       await Promise.all([...entries, ...agents].map(({ program }) => program.kill()));
       for (const { storeLink } of [...entries, ...agents]) storeLink.close();
       for (const link of relayLinks) link.close();
@@ -354,7 +370,7 @@
   };
 }
 
-/** Where callers and the platform reach an entry. */
+/** Addresses at which callers and the platform reach an entry. */
 export const entryAddress = (entry: SoakInstance): { callers: Address; ready: Address } => ({
   callers: { host: entry.host, port: PORT.callers },
   ready: { host: entry.host, port: PORT.ready },
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -1,9 +1,9 @@
-/** What is done to a deployment from outside: series of faults and planned work that overlap. */
+/** Scenario `faults`: overlapping series of random faults and planned operations. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { EndpointFault } from '../../fakes/platform-engine/index.js';
 import type { StoreMood } from '../../fakes/store/index.js';
 import {
-  GRACE_S,
+  STOP_GRACE_S,
   KEYS,
   PORT,
   type Deployment,
@@ -11,59 +11,59 @@
   type SoakInstance,
 } from './deployment.js';
 import type { Program } from './program.js';
-import { WHOLE, type LinkState, type LoopbackProxy } from './proxy.js';
+import { HEALTHY_LINK, type LinkState, type LoopbackProxy } from './proxy.js';
 
-/** What a fault needs. */
-interface FaultParts {
+/** Arguments of a fault. */
+interface FaultDeps {
   readonly deployment: Deployment;
   readonly random: () => number;
-  /** Instances that may be struck; any where left out. */
+  /** Instances to choose from; all by default. */
   readonly among?: readonly SoakInstance[];
 }
 
-/** Does one thing, and resolves when it is over. */
-type Fault = (parts: FaultParts) => Promise<void>;
+/** Injects one fault or operation and resolves when it is over. */
+type Fault = (deps: FaultDeps) => Promise<void>;
 
-/** Publishes one more route. */
-export function addRoute({ config, publish, additions, nowMs }: Deployment): string {
+/** Publishes an additional route and returns its name. */
+export function addRoute({ config, publish, addedRoutes, nowMs }: Deployment): string {
   const name = `extra-${config.version}`;
   config.extraRoutes.add(name);
   publish();
-  additions.push({ prefix: `/${name}/`, atMs: nowMs() });
+  addedRoutes.push({ prefix: `/${name}/`, atMs: nowMs() });
   return name;
 }
 
-/** Takes a route away. */
-export function removeRoute(
-  { config, publish, withdrawals, nowMs }: Deployment,
-  name: string,
-): void {
+/** Removes a route and publishes the change. */
+export function removeRoute({ config, publish, removals, nowMs }: Deployment, name: string): void {
   config.extraRoutes.delete(name);
-  config.pastRoutes.add(name);
+  config.removedRoutes.add(name);
   publish();
-  withdrawals.push({ what: 'route', name: `/${name}/`, atMs: nowMs() });
+  removals.push({ resource: 'route', name: `/${name}/`, atMs: nowMs() });
 }
 
-/** Takes a key away; false where too few would be left. */
-export function takeKey({ config, publish, withdrawals, nowMs }: Deployment): boolean {
+/** Removes a key and publishes the change; false if only two keys are left. */
+export function removeKey({ config, publish, removals, nowMs }: Deployment): boolean {
   const key = KEYS.slice(1).find((k) => config.keys.has(k));
   if (key === undefined || config.keys.size <= 2) return false;
   config.keys.delete(key);
   publish();
-  withdrawals.push({ what: 'key', name: key, atMs: nowMs() });
+  removals.push({ resource: 'key', name: key, atMs: nowMs() });
   return true;
 }
 
-/** A plain endpoint that others can do without, and that has not left yet. */
-export function nextLeaving({ endpoints, withdrawals }: Deployment): SoakEndpoint | undefined {
-  const left = new Set(withdrawals.map((w) => w.name));
-  const staying = endpoints.filter((e) => e.service === 'plain' && !left.has(e.id));
+/** The next plain endpoint that may leave; undefined if it is the last one. */
+export function nextLeavingCandidate({
+  endpoints,
+  removals,
+}: Deployment): SoakEndpoint | undefined {
+  const removed = new Set(removals.map((removal) => removal.name));
+  const staying = endpoints.filter((e) => e.service === 'plain' && !removed.has(e.id));
   return staying.length < 2 ? undefined : staying[0];
 }
 
-/** Lets an endpoint say that it leaves; it serves on. */
+/** Marks an endpoint as draining in the store; it keeps serving. */
 export function announceLeaving(
-  { store, withdrawals, nowMs }: Deployment,
+  { store, removals, nowMs }: Deployment,
   { id, service, host }: SoakEndpoint,
 ): void {
   store.put(`servers/${id}`, {
@@ -73,112 +73,111 @@
     slots: 8,
     state: 'draining',
   });
-  withdrawals.push({ what: 'endpoint', name: id, atMs: nowMs() });
+  removals.push({ resource: 'endpoint', name: id, atMs: nowMs() });
 }
 
-/** Any of some items. */
+/** Picks a random item. */
 export function pick<T>(items: readonly T[], random: () => number): T {
   return items[Math.floor(random() * items.length)] as T;
 }
 
-/** Notes that targets are disturbed for as long as something is done. */
-export async function during(
+/** Records a disturbance of `targets` for the duration of `act`. */
+export async function recordDuring(
   { disturbances, nowMs }: Deployment,
   kind: string,
   targets: readonly string[],
   act: () => Promise<void> | void,
 ): Promise<void> {
   const fromMs = nowMs();
-  const notes = targets.map((target) => ({
+  const records = targets.map((target) => ({
     kind,
     target,
     fromMs,
     untilMs: Number.POSITIVE_INFINITY,
   }));
-  disturbances.push(...notes);
+  disturbances.push(...records);
   await act();
-  for (const note of notes) note.untilMs = nowMs();
+  for (const record of records) record.untilMs = nowMs();
 }
 
-function anyInstance({ deployment, random, among }: FaultParts): SoakInstance {
+function anyInstance({ deployment, random, among }: FaultDeps): SoakInstance {
   return pick(among ?? [...deployment.entries, ...deployment.agents], random);
 }
 
-/** Ends an instance in some way and starts it again; its start takes its time as well. */
-async function restarted(
-  parts: FaultParts,
+/** Ends an instance and restarts it; the disturbance includes 1 s of startup time. */
+async function restart(
+  deps: FaultDeps,
   kind: string,
   end: (program: Program) => Promise<void>,
 ): Promise<void> {
-  const { name, program } = anyInstance(parts);
-  if (program.isClaimed) return;
-  program.isClaimed = true;
-  await during(parts.deployment, kind, [name], async () => {
+  const { name, program } = anyInstance(deps);
+  if (program.isRestarting) return;
+  program.isRestarting = true;
+  await recordDuring(deps.deployment, kind, [name], async () => {
     await end(program);
     program.start();
     await sleep(1000);
   });
-  program.isClaimed = false;
+  program.isRestarting = false;
 }
 
-const killed: Fault = (parts) =>
-  restarted(parts, 'kill', async (program) => {
+const kill: Fault = (deps) =>
+  restart(deps, 'kill', async (program) => {
     await program.kill();
-    await sleep(100 + 500 * parts.random());
+    await sleep(100 + 500 * deps.random());
   });
 
-const stopped: Fault = (parts) =>
-  restarted(parts, 'stop', (program) => program.stop(GRACE_S * 1000));
+const stop: Fault = (deps) => restart(deps, 'stop', (program) => program.stop(STOP_GRACE_S * 1000));
 
-const paused: Fault = async (parts) => {
-  const { name, program } = anyInstance(parts);
-  await during(parts.deployment, 'pause', [name], async () => {
-    program.pause(true);
-    await sleep(200 + 2500 * parts.random());
-    program.pause(false);
+const suspend: Fault = async (deps) => {
+  const { name, program } = anyInstance(deps);
+  await recordDuring(deps.deployment, 'pause', [name], async () => {
+    program.setSuspended(true);
+    await sleep(200 + 2500 * deps.random());
+    program.setSuspended(false);
   });
 };
 
-const settingsChanged: Fault = async (parts) => {
-  const { name, program } = anyInstance(parts);
-  await during(parts.deployment, 'hup', [name], async () => {
-    program.rewriteBoot(`changed at ${parts.deployment.nowMs()}`);
-    if (parts.random() < 0.7) await program.hangUp();
+const changeSettings: Fault = async (deps) => {
+  const { name, program } = anyInstance(deps);
+  await recordDuring(deps.deployment, 'hup', [name], async () => {
+    program.rewriteBoot(`changed at ${deps.deployment.nowMs()}`);
+    if (deps.random() < 0.7) await program.reloadSettings();
     await sleep(200);
   });
 };
 
 const LINK_STATES: readonly LinkState[] = [
-  { delayMs: 80, cut: [] },
-  { delayMs: 0, cut: ['out'] },
-  { delayMs: 0, cut: ['back'] },
-  { delayMs: 0, cut: ['out', 'back'] },
+  { delayMs: 80, blocked: [] },
+  { delayMs: 0, blocked: ['out'] },
+  { delayMs: 0, blocked: ['back'] },
+  { delayMs: 0, blocked: ['out', 'back'] },
 ];
 
-async function harmLink(parts: FaultParts, target: string, link: LoopbackProxy): Promise<void> {
-  const state = pick(LINK_STATES, parts.random);
-  const what = state.cut.length > 0 ? `cut ${state.cut.join(' ')}` : 'delay';
-  await during(parts.deployment, what, [target], async () => {
-    link.set(state);
-    await sleep(300 + 2500 * parts.random());
-    if (parts.random() < 0.5) link.reset();
-    link.set(WHOLE);
+async function degradeLink(deps: FaultDeps, target: string, link: LoopbackProxy): Promise<void> {
+  const state = pick(LINK_STATES, deps.random);
+  const kind = state.blocked.length > 0 ? `cut ${state.blocked.join(' ')}` : 'delay';
+  await recordDuring(deps.deployment, kind, [target], async () => {
+    link.setLinkState(state);
+    await sleep(300 + 2500 * deps.random());
+    if (deps.random() < 0.5) link.reset();
+    link.setLinkState(HEALTHY_LINK);
   });
 }
 
-const storeLinkHarmed: Fault = (parts) => {
-  const { name, storeLink } = anyInstance(parts);
-  return harmLink(parts, name, storeLink);
+const degradeStoreLink: Fault = (deps) => {
+  const { name, storeLink } = anyInstance(deps);
+  return degradeLink(deps, name, storeLink);
 };
 
-const endpointLinkHarmed: Fault = (parts) => {
-  const { id, proxy } = pick(parts.deployment.endpoints, parts.random);
-  return harmLink(parts, id, proxy);
+const degradeEndpointLink: Fault = (deps) => {
+  const { id, proxy } = pick(deps.deployment.endpoints, deps.random);
+  return degradeLink(deps, id, proxy);
 };
 
-const connectionsReset: Fault = async (parts) => {
-  const { id, proxy } = pick(parts.deployment.endpoints, parts.random);
-  await during(parts.deployment, 'reset', [id], async () => {
+const resetConnections: Fault = async (deps) => {
+  const { id, proxy } = pick(deps.deployment.endpoints, deps.random);
+  await recordDuring(deps.deployment, 'reset', [id], async () => {
     proxy.reset();
     await sleep(50);
   });
@@ -186,17 +185,17 @@
 
 const STORE_MOODS: readonly StoreMood[] = ['busy', 'reset', 'silent', 'no-json', 'half'];
 
-const storeAway: Fault = async (parts) => {
-  const { store } = parts.deployment;
-  await during(parts.deployment, 'store', ['store'], async () => {
-    store.mood = pick(STORE_MOODS, parts.random);
-    await sleep(300 + 3000 * parts.random());
+const failStore: Fault = async (deps) => {
+  const { store } = deps.deployment;
+  await recordDuring(deps.deployment, 'store', ['store'], async () => {
+    store.mood = pick(STORE_MOODS, deps.random);
+    await sleep(300 + 3000 * deps.random());
     store.mood = 'well';
   });
 };
 
-const historyForgotten: Fault = async (parts) => {
-  parts.deployment.store.compact();
+const compactStore: Fault = async (deps) => {
+  deps.deployment.store.compact();
   await sleep(50);
 };
 
@@ -209,34 +208,34 @@
   'short',
 ];
 
-const endpointFails: Fault = async (parts) => {
-  const { id, faults } = pick(parts.deployment.endpoints, parts.random);
-  await during(parts.deployment, 'endpoint', [id], async () => {
-    for (let i = 0; i < 6; i += 1) faults.push(pick(ENDPOINT_FAULTS, parts.random));
+const failEndpoint: Fault = async (deps) => {
+  const { id, faults } = pick(deps.deployment.endpoints, deps.random);
+  await recordDuring(deps.deployment, 'endpoint', [id], async () => {
+    for (let i = 0; i < 6; i += 1) faults.push(pick(ENDPOINT_FAULTS, deps.random));
     await sleep(1000);
     faults.length = 0;
   });
 };
 
-/** A rank dies and its group forms anew, with the first map and nothing armed. */
-const groupReforms: Fault = async ({ deployment, random }) => {
+/** A rank dies and its group re-forms, with the first map and nothing armed. */
+const reformGroup: Fault = async ({ deployment, random }) => {
   deployment.group.reform();
   await sleep(300 * random());
 };
 
-const configChanged: Fault = async ({ deployment, random }) => {
+const changeConfig: Fault = async ({ deployment, random }) => {
   const name = addRoute(deployment);
   await sleep(1500 + 1000 * random());
   removeRoute(deployment, name);
 };
 
-const keyTakenAway: Fault = async ({ deployment }) => {
-  if (takeKey(deployment)) await sleep(50);
+const removeOneKey: Fault = async ({ deployment }) => {
+  if (removeKey(deployment)) await sleep(50);
 };
 
-/** A plain endpoint announces that it leaves, serves on for a while, and is gone. */
-const endpointLeaves: Fault = async ({ deployment }) => {
-  const first = nextLeaving(deployment);
+/** A plain endpoint announces that it leaves, keeps serving for 2.5 s, and is removed. */
+const drainEndpoint: Fault = async ({ deployment }) => {
+  const first = nextLeavingCandidate(deployment);
   if (!first) return;
   announceLeaving(deployment, first);
   await sleep(2500);
@@ -244,28 +243,28 @@
 };
 
 const FAULTS: readonly Fault[] = [
-  killed,
-  stopped,
-  stopped,
-  paused,
-  settingsChanged,
-  storeLinkHarmed,
-  endpointLinkHarmed,
-  connectionsReset,
-  storeAway,
-  historyForgotten,
-  endpointFails,
-  groupReforms,
-  configChanged,
-  keyTakenAway,
-  endpointLeaves,
+  kill,
+  stop,
+  stop,
+  suspend,
+  changeSettings,
+  degradeStoreLink,
+  degradeEndpointLink,
+  resetConnections,
+  failStore,
+  compactStore,
+  failEndpoint,
+  reformGroup,
+  changeConfig,
+  removeOneKey,
+  drainEndpoint,
 ];
 
-/** Series that run at once: faults overlap. */
-const SERIES = 2;
+/** Number of concurrent series, so that faults overlap. */
+const PARALLEL_SERIES = 2;
 
 /**
- * Does one thing after the other, in several series at once, until `untilMs`; resolves when all is over.
+ * Injects random faults in several concurrent series until `untilMs`; resolves when all are over.
  * @example await disturb(deployment, random, 8000);
  */
 export async function disturb(
@@ -279,24 +278,24 @@
       await sleep(400 * random());
     }
   };
-  await Promise.all(Array.from({ length: SERIES }, series));
+  await Promise.all(Array.from({ length: PARALLEL_SERIES }, series));
 }
 
-const ENTRY_FAULTS: readonly Fault[] = [killed, stopped, paused, settingsChanged, storeLinkHarmed];
+const ENTRY_FAULTS: readonly Fault[] = [kill, stop, suspend, changeSettings, degradeStoreLink];
 
 /**
- * Does one thing to an entry.
- * @example await entryTrouble(deployment, random);
+ * Injects one fault into a random entry.
+ * @example await disturbEntry(deployment, random);
  */
-export function entryTrouble(deployment: Deployment, random: () => number): Promise<void> {
+export function disturbEntry(deployment: Deployment, random: () => number): Promise<void> {
   return pick(ENTRY_FAULTS, random)({ deployment, random, among: deployment.entries });
 }
 
 /**
- * Does one thing to a relay.
- * @example await relayTrouble(deployment, random);
+ * Injects one fault into a random relay.
+ * @example await disturbRelay(deployment, random);
  */
-export function relayTrouble(deployment: Deployment, random: () => number): Promise<void> {
+export function disturbRelay(deployment: Deployment, random: () => number): Promise<void> {
   const among = deployment.entries.slice(0, deployment.relayLinks.length);
   return pick(ENTRY_FAULTS, random)({ deployment, random, among });
 }
--- a/bench/soak/limits.ts
+++ b/bench/soak/limits.ts
@@ -1,26 +1,32 @@
 /**
- * All endpoints of a service name a rate limit for a long time, again and again, while callers fall silent and resume, and entries
- * are killed, stopped, paused and cut off, relays among them.
+ * Scenario `limits`: all endpoints of a service repeatedly send a rate limit for a long time, while
+ * callers pause and resume, and entries, including relays, are killed, stopped, suspended and cut
+ * off from the store.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { inNeed } from './asking.js';
+import { signalRateLimit } from './backpressure.js';
 import type { Deployment } from './deployment.js';
-import { entryTrouble, pick, relayTrouble } from './faults.js';
+import { disturbEntry, pick, disturbRelay } from './faults.js';
 
-/** Limits, requests/s. */
+/** Rate limits sent by endpoints, requests/s. */
 const LIMITS_PER_S = [0.5, 1, 4];
-/** How long a limit is named, ms. */
-const LIMIT_MS = { least: 24_000, more: 8000 } as const;
-/** Time in which callers are silent, or ask, ms. */
-const QUIET_MS = { least: 15_500, more: 2000 } as const;
-const BUSY_MS = { least: 2000, more: 6000 } as const;
-/** Time between the last limit and the end of the play, ms: entries send more and more after a limit ends. */
-const RELEASED_MS = 8000;
+/** How long a rate limit is sent, ms. */
+const LIMIT_MS = { min: 24_000, spread: 8000 } as const;
+/** How long callers pause and how long they send, ms. */
+const CALLERS_PAUSED_MS = { min: 15_500, spread: 2000 } as const;
+const CALLERS_ACTIVE_MS = { min: 2000, spread: 6000 } as const;
+/**
+ * Time from the last limit to the end of the scenario, ms; entries increase their rate gradually
+ * after a limit ends.
+ */
+const RELEASE_MS = 8000;
 
-const between = ({ least, more }: typeof LIMIT_MS | typeof QUIET_MS | typeof BUSY_MS, r: number) =>
-  least + more * r;
+const durationIn = (
+  { min, spread }: typeof LIMIT_MS | typeof CALLERS_PAUSED_MS | typeof CALLERS_ACTIVE_MS,
+  r: number,
+) => min + spread * r;
 
-async function limitsOn(
+async function signalRateLimits(
   deployment: Deployment,
   random: () => number,
   untilMs: number,
@@ -28,50 +34,50 @@
   while (deployment.nowMs() < untilMs) {
     const service = pick(['plain', 'model'], random);
     const endpoints = deployment.endpoints.filter((e) => e.service === service);
-    const forMs = Math.min(between(LIMIT_MS, random()), untilMs - deployment.nowMs());
-    await inNeed(deployment, endpoints, pick(LIMITS_PER_S, random), forMs);
+    const forMs = Math.min(durationIn(LIMIT_MS, random()), untilMs - deployment.nowMs());
+    await signalRateLimit(deployment, endpoints, pick(LIMITS_PER_S, random), forMs);
     await sleep(2000 * random());
   }
 }
 
-async function wavesOn(
+async function pauseCallers(
   deployment: Deployment,
   random: () => number,
   untilMs: number,
 ): Promise<void> {
   while (deployment.nowMs() < untilMs) {
-    await sleep(between(BUSY_MS, random()));
-    deployment.isQuiet = true;
-    await sleep(between(QUIET_MS, random()));
-    deployment.isQuiet = false;
+    await sleep(durationIn(CALLERS_ACTIVE_MS, random()));
+    deployment.areCallersPaused = true;
+    await sleep(durationIn(CALLERS_PAUSED_MS, random()));
+    deployment.areCallersPaused = false;
   }
 }
 
-async function troubleOn(
+async function disturbEntries(
   deployment: Deployment,
   random: () => number,
   untilMs: number,
 ): Promise<void> {
   while (deployment.nowMs() < untilMs) {
     await sleep(4000 * random());
-    await pick([entryTrouble, relayTrouble], random)(deployment, random);
+    await pick([disturbEntry, disturbRelay], random)(deployment, random);
   }
 }
 
 /**
- * Lets endpoints name limits while entries are disturbed.
- * @example await nameLimits(deployment, random, 30_000);
+ * Makes endpoints send long-lasting rate limits while entries are disturbed.
+ * @example await signalLongRateLimits(deployment, random, 30_000);
  */
-export async function nameLimits(
+export async function signalLongRateLimits(
   deployment: Deployment,
   random: () => number,
   untilMs: number,
 ): Promise<void> {
-  const limitsUntilMs = untilMs - RELEASED_MS;
+  const limitsUntilMs = untilMs - RELEASE_MS;
   await Promise.all([
-    limitsOn(deployment, random, limitsUntilMs),
-    wavesOn(deployment, random, limitsUntilMs),
-    troubleOn(deployment, random, limitsUntilMs),
+    signalRateLimits(deployment, random, limitsUntilMs),
+    pauseCallers(deployment, random, limitsUntilMs),
+    disturbEntries(deployment, random, limitsUntilMs),
   ]);
   await sleep(Math.max(0, untilMs - deployment.nowMs()));
 }
--- a/bench/soak/program.ts
+++ b/bench/soak/program.ts
@@ -1,4 +1,4 @@
-/** The platform's programs as separate processes; only what was started here is ever signalled. */
+/** Runs the programs as separate processes; only processes started here are ever signalled. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createWriteStream, mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -8,43 +8,43 @@
 import { listensForSignals } from './signals.js';
 
 const MAIN = fileURLToPath(new URL('../../platform/main.js', import.meta.url));
-/** Memory limit of each process's heap, MB; as in deploy/system.toml. */
+/** Heap limit of each process, MB; as in deploy/system.toml. */
 const HEAP_MB = 120;
-/** Longest time that a runtime is given to reach the program's first line, ms, and how often that is looked at. */
-const LISTENS_MS = 5000;
-const LISTENS_POLL_MS = 20;
+/** Timeout and poll interval for a process to install its signal handlers, ms. */
+const SIGNAL_HANDLER_TIMEOUT_MS = 5000;
+const SIGNAL_HANDLER_POLL_MS = 20;
 
-/** What a program is started with. */
+/** Options of a program. */
 export interface ProgramOptions {
   readonly name: string;
   readonly role: 'entry' | 'agent';
-  /** Where its boot file and its log go. */
+  /** Folder of its boot file and log. */
   readonly folder: string;
   readonly bootText: string;
 }
 
-/** One program that is started again whenever it has ended, as the platform does. */
+/** One program that can be started again after it exits, as the platform does. */
 export class Program {
-  /** Whether some series is ending it and starting it again; another one then leaves it alone. */
-  isClaimed = false;
-  /** Ends that nobody asked for, in words. */
-  readonly badEnds: string[] = [];
+  /** Whether a fault series is restarting it; other series then skip it. */
+  isRestarting = false;
+  /** Exits that were not requested, and requested stops with a code other than 0, as text. */
+  readonly unexpectedExits: string[] = [];
   private child: ChildProcess | undefined;
-  private ended: Promise<void> = Promise.resolve();
-  /** Whether its next end was asked for, and must be with exit code 0. */
-  private expected: 'kill' | 'stop' | undefined;
+  private exited: Promise<void> = Promise.resolve();
+  /** The requested kind of exit, if any; `stop` must end with exit code 0. */
+  private expectedExit: 'kill' | 'stop' | undefined;
 
   constructor(readonly options: ProgramOptions) {
     mkdirSync(options.folder, { recursive: true });
     this.rewriteBoot();
   }
 
-  /** Writes the boot file again, as when settings change. */
+  /** Rewrites the boot file, as when settings change. */
   rewriteBoot(comment = ''): void {
     writeFileSync(this.bootPath, `${this.options.bootText}\n# ${comment}\n`);
   }
 
-  /** Starts it; what it prints goes to its log file. */
+  /** Starts it; its output goes to its log file. */
   start(): void {
     const { name, role, folder } = this.options;
     const log = createWriteStream(join(folder, `${name}.log`), { flags: 'a' });
@@ -56,61 +56,61 @@
     child.stderr.pipe(log, { end: false });
     endWithUs(child);
     this.child = child;
-    this.expected = undefined;
-    this.ended = new Promise((resolve) => {
+    this.expectedExit = undefined;
+    this.exited = new Promise((resolve) => {
       child.once('exit', (code, signal) => {
-        this.noteEnd(code, signal);
+        this.recordExit(code, signal);
         resolve();
       });
-      // What it printed last may come after its end.
+      // Its last output may arrive after its exit.
       child.once('close', () => log.end());
     });
   }
 
-  /** Pauses it, or lets it go on. */
-  pause(isPaused: boolean): void {
-    this.child?.kill(isPaused ? 'SIGSTOP' : 'SIGCONT');
+  /** Suspends it with SIGSTOP, or resumes it with SIGCONT. */
+  setSuspended(isSuspended: boolean): void {
+    this.child?.kill(isSuspended ? 'SIGSTOP' : 'SIGCONT');
   }
 
-  /** Tells it that its settings have changed. */
-  async hangUp(): Promise<void> {
-    await this.untilListens();
+  /** Sends SIGHUP once its signal handlers are installed, so that it reloads its settings. */
+  async reloadSettings(): Promise<void> {
+    await this.untilSignalHandlersReady();
     this.child?.kill('SIGHUP');
   }
 
-  /** Ends it without warning. */
+  /** Kills it with SIGKILL and waits for its exit. */
   async kill(): Promise<void> {
-    this.expected = 'kill';
+    this.expectedExit = 'kill';
     this.child?.kill('SIGKILL');
-    await this.ended;
+    await this.exited;
   }
 
-  /** Tells it to stop, and kills it when it has not ended in time. */
+  /** Sends SIGTERM, and SIGKILL if it has not exited after `graceMs`. */
   async stop(graceMs: number): Promise<void> {
-    await this.untilListens();
-    this.expected = 'stop';
+    await this.untilSignalHandlersReady();
+    this.expectedExit = 'stop';
     this.child?.kill('SIGTERM');
     const timer = setTimeout(() => void this.kill(), graceMs);
-    await this.ended;
+    await this.exited;
     clearTimeout(timer);
   }
 
-  /** Waits until the program's own code has begun to run, or for a while. */
-  private async untilListens(): Promise<void> {
-    const untilMs = performance.now() + LISTENS_MS;
+  /** Waits until the program's own code handles signals, up to the timeout. */
+  private async untilSignalHandlersReady(): Promise<void> {
+    const untilMs = performance.now() + SIGNAL_HANDLER_TIMEOUT_MS;
     while (performance.now() < untilMs && !listensForSignals(this.child?.pid ?? 0))
-      await sleep(LISTENS_POLL_MS);
+      await sleep(SIGNAL_HANDLER_POLL_MS);
   }
 
   private get bootPath(): string {
     return join(this.options.folder, `${this.options.name}.toml`);
   }
 
-  private noteEnd(code: number | null, signal: NodeJS.Signals | null): void {
+  private recordExit(code: number | null, signal: NodeJS.Signals | null): void {
     const { name } = this.options;
-    if (this.expected === undefined)
-      this.badEnds.push(`${name} ended by itself: ${code ?? signal}`);
-    if (this.expected === 'stop' && code !== 0)
-      this.badEnds.push(`${name} was told to stop and ended with ${code ?? signal}`);
+    if (this.expectedExit === undefined)
+      this.unexpectedExits.push(`${name} exited by itself: ${code ?? signal}`);
+    if (this.expectedExit === 'stop' && code !== 0)
+      this.unexpectedExits.push(`${name} was sent SIGTERM and exited with ${code ?? signal}`);
   }
 }
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -1,44 +1,47 @@
-/** A loopback proxy that harms the connections that go through it: delays, resets, cuts one way, silences. */
+/**
+ * A loopback proxy that injects network faults: delays, resets, one-direction blocks, unresponsive
+ * connections.
+ */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** Where a connection goes to or comes from. */
+/** Host and port of one end of a connection. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** The two directions of a connection, as whoever opened it sees them. */
-export type Way = 'out' | 'back';
+/** Directions of a connection, as seen by the client. */
+export type Direction = 'out' | 'back';
 
-/** What a proxy does to its connections now. */
+/** Faults that a proxy applies to its connections. */
 export interface LinkState {
-  /** Time by which each piece is late, ms. */
+  /** Delay of each chunk, ms. */
   readonly delayMs: number;
-  /** Directions in which nothing gets through until the link is whole again. */
-  readonly cut: readonly Way[];
+  /** Directions in which data is held back until the link is healthy. */
+  readonly blocked: readonly Direction[];
 }
 
-/** A link that harms nothing. */
-export const WHOLE: LinkState = { delayMs: 0, cut: [] };
+/** Link state without faults. */
+export const HEALTHY_LINK: LinkState = { delayMs: 0, blocked: [] };
 
-/** How often a piece that is held up looks whether the link is whole again, ms. */
-const HELD_POLL_MS = 20;
+/** Poll interval for held-back data to check whether its direction is unblocked, ms. */
+const BLOCKED_POLL_MS = 20;
 
 /**
- * Resets a connection. One whose end is under way is closed: Node fails to reset it (EINVAL) and keeps it for
- * ever, and this process with it.
+ * Resets a connection. A socket that is already ending is destroyed instead: Node fails to reset it
+ * (EINVAL) and never releases it, which keeps this process alive.
  * @example resetConnection(socket);
  */
 export function resetConnection(socket: Socket): void {
-  const isEnding = socket.writableEnded && !socket.writableFinished;
-  if (isEnding) socket.destroy();
+  const isClosing = socket.writableEnded && !socket.writableFinished;
+  if (isClosing) socket.destroy();
   else socket.resetAndDestroy();
 }
 
-/** One proxy. */
+/** Forwards connections from a listening address to a target and applies faults to them. */
 export class LoopbackProxy {
-  private state = WHOLE;
+  private state = HEALTHY_LINK;
   private isClosed = false;
   private readonly sockets = new Set<Socket>();
   private readonly silenced = new WeakSet<Socket>();
@@ -48,12 +51,12 @@
     private readonly listen: Address,
     private readonly target: Address,
   ) {
-    server.on('connection', (socket) => this.join(socket));
+    server.on('connection', (socket) => this.connectThrough(socket));
   }
 
   /**
-   * Starts a proxy.
-   * @example const proxy = await LoopbackProxy.start(listen, target); proxy.set({ delayMs: 50, cut: [] });
+   * Starts a proxy; resolves when it listens.
+   * @example const proxy = await LoopbackProxy.start(listen, target); proxy.setLinkState({ delayMs: 50, blocked: [] });
    */
   static async start(listen: Address, target: Address): Promise<LoopbackProxy> {
     const server = createServer();
@@ -73,60 +76,66 @@
     });
   }
 
-  /** Resets every connection and refuses new ones for a while, as an instance whose process fell. */
-  async fall(awayMs: number): Promise<void> {
+  /**
+   * Resets every connection and refuses new ones for `downtimeMs`, like an instance whose process
+   * crashed.
+   */
+  async simulateCrash(downtimeMs: number): Promise<void> {
     if (!this.server.listening) return;
     this.server.close();
     this.reset();
-    await sleep(awayMs);
+    await sleep(downtimeMs);
     if (!this.isClosed) await this.open();
   }
 
-  /** From now on connections are treated so; pieces that are held up go on when the link is whole. */
-  set(state: LinkState): void {
+  /**
+   * Applies a state to all connections; held-back data is delivered once its direction is
+   * unblocked.
+   */
+  setLinkState(state: LinkState): void {
     this.state = state;
   }
 
-  /** Resets every connection that is open. */
+  /** Resets every open connection. */
   reset(): void {
     for (const socket of this.sockets) resetConnection(socket);
   }
 
-  /** Silences every connection that is open, for good and without a reset; new ones work. */
+  /** Makes every open connection unresponsive for good, without a reset; new ones work. */
   silence(): void {
     for (const socket of this.sockets) this.silenced.add(socket);
   }
 
-  /** Ends the proxy and its connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.isClosed = true;
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
   }
 
-  private join(near: Socket): void {
-    const far = connect(this.target.port, this.target.host);
-    for (const socket of [near, far]) {
+  private connectThrough(clientSocket: Socket): void {
+    const targetSocket = connect(this.target.port, this.target.host);
+    for (const socket of [clientSocket, targetSocket]) {
       this.sockets.add(socket);
       socket.on('close', () => this.sockets.delete(socket));
     }
-    this.carry(near, far, 'out');
-    this.carry(far, near, 'back');
+    this.forward(clientSocket, targetSocket, 'out');
+    this.forward(targetSocket, clientSocket, 'back');
   }
 
-  /** Carries one direction, piece by piece and in order. */
-  private carry(from: Socket, to: Socket, way: Way): void {
-    let last: Promise<void> = Promise.resolve();
+  /** Forwards one direction, chunk by chunk and in order. */
+  private forward(from: Socket, to: Socket, direction: Direction): void {
+    let previous: Promise<void> = Promise.resolve();
     const after = (act: () => void): void => {
-      last = last
-        .then(() => this.pass(way, to))
+      previous = previous
+        .then(() => this.untilForwardable(direction, to))
         .then(() => {
           if (!this.silenced.has(from)) act();
         });
     };
     from.on('data', (piece) => after(() => void (to.destroyed || to.write(piece))));
     from.on('end', () => after(() => to.end()));
-    // A reset is told as one; what was held up before it is lost.
+    // A reset is forwarded as a reset; data held back before it is lost.
     from.on('error', () => {
       if (!this.silenced.has(from)) resetConnection(to);
     });
@@ -135,8 +144,8 @@
     });
   }
 
-  private async pass(way: Way, to: Socket): Promise<void> {
+  private async untilForwardable(direction: Direction, to: Socket): Promise<void> {
     if (this.state.delayMs > 0) await sleep(this.state.delayMs);
-    while (this.state.cut.includes(way) && !to.destroyed) await sleep(HELD_POLL_MS);
+    while (this.state.blocked.includes(direction) && !to.destroyed) await sleep(BLOCKED_POLL_MS);
   }
 }
--- a/bench/soak/record.ts
+++ b/bench/soak/record.ts
@@ -1,95 +1,97 @@
-/** What one soak run saw from outside the system: the callers' and the endpoints' side, and what was done to it. */
+/**
+ * Record of one soak run: what callers and endpoints observed, and the disturbances of the system.
+ */
 import type {
   EndpointArrival,
   EndpointAsked,
   EndpointRun,
 } from '../../fakes/platform-engine/index.js';
 
-/** Kinds of request, as their routes say. */
-export type AskKind = 'once' | 'repeatable' | 'stream';
+/** Kinds of request, as defined by their routes. */
+export type RequestKind = 'once' | 'repeatable' | 'stream';
 
-/** How an answer came, or that none did. */
-export interface AskEnd {
+/** How a request ended: with a response, part of one, or none. */
+export interface RequestOutcome {
   readonly atMs: number;
-  /** 0 when the connection ended without a head. */
+  /** 0 if the connection ended before the response head. */
   readonly status: number;
   readonly isSigned: boolean;
   readonly body: string;
-  /** Whether the answer was framed as whole. */
+  /** Whether the HTTP framing of the response was complete. */
   readonly isComplete: boolean;
 }
 
-/** One request of a caller. Times are ms from the start of the run. */
-export interface Ask {
+/** One request of a caller. Times are in ms since the start of the run. */
+export interface CallerRequest {
   readonly id: string;
-  readonly kind: AskKind;
+  readonly kind: RequestKind;
   readonly path: string;
   readonly body: string;
   readonly key: string;
   readonly entry: string;
   readonly sentAtMs: number;
-  end: AskEnd | undefined;
+  outcome: RequestOutcome | undefined;
 }
 
-/** Something that was done to the system. */
+/** A fault or planned operation and its time span. */
 export interface Disturbance {
   readonly kind: string;
-  /** Instance or endpoint that it struck; `store` for the store itself. */
+  /** Name of the affected instance or endpoint; `store` for the store itself. */
   readonly target: string;
   readonly fromMs: number;
   untilMs: number;
 }
 
-/** An endpoint that fell by a request that it began to run. */
-export interface Fall {
+/** A crash of an endpoint caused by a request that it began to run. */
+export interface EndpointCrash {
   readonly path: string;
   readonly atMs: number;
 }
 
-/** A key, a route or an endpoint that was taken away. */
-export interface Withdrawal {
-  readonly what: 'key' | 'route' | 'endpoint';
+/** Removal of a key, a route or an endpoint. */
+export interface Removal {
+  readonly resource: 'key' | 'route' | 'endpoint';
   readonly name: string;
-  /** When the store had taken it. */
+  /** Time at which the store held the change. */
   readonly atMs: number;
 }
 
-/** A span in which an endpoint named a limit in its answers. */
-export interface Need {
+/** A time span in which an endpoint sent a rate limit in its responses. */
+export interface RateLimitPeriod {
   readonly endpoint: string;
   readonly limitPerS: number;
   readonly fromMs: number;
   untilMs: number;
 }
 
-/** A route that was added. */
-export interface Addition {
-  /** Its path prefix. */
+/** A route that was added during the run. */
+export interface AddedRoute {
   readonly prefix: string;
-  /** When the store had taken it. */
+  /** Time at which the store held the change. */
   readonly atMs: number;
 }
 
-/** One whole run. */
+/** Everything recorded in one run. */
 export interface SoakRecord {
   readonly seed: number;
-  readonly asks: readonly Ask[];
+  readonly requests: readonly CallerRequest[];
   readonly runs: readonly EndpointRun[];
-  /** All that came to endpoints, run or not, and the answers in which they asked for something. */
+  /** All requests that reached endpoints, whether run or not. */
   readonly arrivals: readonly EndpointArrival[];
-  readonly asked: readonly EndpointAsked[];
-  readonly needs: readonly Need[];
+  /** Responses in which endpoints sent backpressure signals. */
+  readonly signals: readonly EndpointAsked[];
+  readonly rateLimitPeriods: readonly RateLimitPeriod[];
   readonly disturbances: readonly Disturbance[];
-  readonly withdrawals: readonly Withdrawal[];
-  readonly additions: readonly Addition[];
-  readonly falls: readonly Fall[];
-  /** Organisation by key; keys that never were one are missing. */
+  readonly removals: readonly Removal[];
+  readonly addedRoutes: readonly AddedRoute[];
+  readonly crashes: readonly EndpointCrash[];
+  /** Organisation by key; keys that were never issued are missing. */
   readonly organisations: Readonly<Record<string, string>>;
-  /** Steps that a group began with different maps. */
+  /** Steps that the ranks of a group began with different maps. */
   readonly mixedSteps: readonly number[];
   readonly longestHoldMs: number;
-  /** Instances that ended by themselves, or not with 0 after they were told to stop. */
-  readonly badEnds: readonly string[];
-  /** From when on nothing was disturbed any more. */
-  readonly calmFromMs: number;
+  /** Instances that exited by themselves, or with a code other than 0 after SIGTERM. */
+  readonly unexpectedExits: readonly string[];
+  /** Time from which on nothing was disturbed. */
+  readonly faultsEndedAtMs: number;
 }
--- a/bench/soak/run.ts
+++ b/bench/soak/run.ts
@@ -1,4 +1,6 @@
-/** One soak run: starts a deployment, lets callers ask while it is disturbed, and checks what was seen. */
+/**
+ * One soak run: starts a deployment, sends requests while it is disturbed, and checks the record.
+ */
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { seededRandom } from '../../src/core/clock/index.js';
@@ -11,112 +13,120 @@
   type Deployment,
   type SoakSize,
 } from './deployment.js';
-import { askThings } from './asking.js';
-import { comeBackFromCopies } from './copies.js';
+import { signalBackpressure } from './backpressure.js';
+import { restoreFromCopies } from './copies.js';
 import { crashEndpoints } from './crashing.js';
 import { disturb } from './faults.js';
-import { silenceWhileThingsChange, silenceWithoutRelays } from './silence.js';
-import { nameLimits } from './limits.js';
+import { silenceDuringChanges, silenceWithoutRelays } from './silence.js';
+import { signalLongRateLimits } from './limits.js';
 import type { SoakRecord } from './record.js';
 
 const NS_PER_MS = 1e6;
-/** The usual size: a few processes. */
-export const USUAL_SIZE: SoakSize = { entries: 3, ranks: 3, plain: 3 };
+/** Default size: a few processes. */
+export const DEFAULT_SIZE: SoakSize = { entries: 3, ranks: 3, plain: 3 };
 
-/** Time that entries may take to become ready, ms: all start at once on a machine that may be busy. */
-const READY_MS = 30_000;
-/** Time without disturbance at the end, ms: what was harmed has to come back. */
-const CALM_MS = 6000;
-/** Time for what was sent last to be answered, ms. */
-const LAST_ANSWERS_MS = 3500;
+/** Timeout for entries to become ready, ms; all start at once on a possibly busy machine. */
+const READY_TIMEOUT_MS = 30_000;
+/** Time without disturbance at the end, ms, in which the system must recover. */
+const RECOVERY_PERIOD_MS = 6000;
+/** Time for the last requests to be answered, ms. */
+const DRAIN_MS = 3500;
 
-/** What came of a run. */
+/** Summary of a run. */
 export interface SoakResult {
   readonly seed: number;
-  readonly asks: number;
+  readonly requests: number;
   readonly answered: number;
   readonly disturbances: number;
   readonly violations: readonly string[];
-  /** Longest time for which the soak's own process stood still, ms: its store, proxies and callers did as well. */
-  readonly longestOwnPauseMs: number;
-  /** Where the logs and boot files lie. */
+  /**
+   * Longest event loop stall of the soak process, ms; it stalls the store, proxies and callers too.
+   */
+  readonly longestStallMs: number;
+  /** Folder of the logs and boot files. */
   readonly folder: string;
 }
 
-function recordOf(deployment: Deployment, seed: number, calmFromMs: number): SoakRecord {
+function recordOf(deployment: Deployment, seed: number, faultsEndedAtMs: number): SoakRecord {
   const programs = [...deployment.entries, ...deployment.agents].map((i) => i.program);
   return {
     seed,
-    asks: deployment.asks,
+    requests: deployment.requests,
     runs: deployment.endpoints.flatMap((endpoint) => endpoint.engine.runs),
     arrivals: deployment.endpoints.flatMap((endpoint) => endpoint.engine.arrivals),
-    asked: deployment.endpoints.flatMap((endpoint) => endpoint.engine.asked),
-    needs: deployment.needs,
+    signals: deployment.endpoints.flatMap((endpoint) => endpoint.engine.asked),
+    rateLimitPeriods: deployment.rateLimitPeriods,
     disturbances: deployment.disturbances,
-    withdrawals: deployment.withdrawals,
-    additions: deployment.additions,
-    falls: deployment.falls,
+    removals: deployment.removals,
+    addedRoutes: deployment.addedRoutes,
+    crashes: deployment.crashes,
     organisations: Object.fromEntries(KEYS.map((key) => [key, ORGANISATION])),
     mixedSteps: deployment.group.mixed,
     longestHoldMs: deployment.group.longestHoldMs,
-    badEnds: programs.flatMap((program) => program.badEnds),
-    calmFromMs,
+    unexpectedExits: programs.flatMap((program) => program.unexpectedExits),
+    faultsEndedAtMs,
   };
 }
 
-/** What is done to a deployment until a time, ms since its start. */
-export type Play = (deployment: Deployment, random: () => number, untilMs: number) => Promise<void>;
+/** Disturbs a deployment until a time, ms since its start. */
+export type Scenario = (
+  deployment: Deployment,
+  random: () => number,
+  untilMs: number,
+) => Promise<void>;
 
-/** Plays by name. */
-export const PLAYS = {
+/** Scenarios by their `--play` name. */
+export const SCENARIOS = {
   faults: disturb,
-  silence: silenceWhileThingsChange,
+  silence: silenceDuringChanges,
   'silence-without-relays': silenceWithoutRelays,
-  copies: comeBackFromCopies,
+  copies: restoreFromCopies,
   crashing: crashEndpoints,
-  asking: askThings,
-  limits: nameLimits,
+  asking: signalBackpressure,
+  limits: signalLongRateLimits,
 } as const;
 
-/** The size for plays in which endpoints leave one after the other. */
+/** Size for scenarios in which endpoints leave one after another. */
 export const LEAVING_SIZE: SoakSize = { entries: 6, ranks: 3, plain: 9 };
 
 /**
- * Plays one seed with `seconds` of disturbances.
+ * Runs one seed with `seconds` of disturbances.
  * @example (await soak(7, 8)).violations // []
  */
 export async function soak(
   seed: number,
   seconds: number,
-  size: SoakSize = USUAL_SIZE,
-  play: Play = disturb,
+  size: SoakSize = DEFAULT_SIZE,
+  scenario: Scenario = disturb,
 ): Promise<SoakResult> {
-  const ownPauses = monitorEventLoopDelay();
-  ownPauses.enable();
+  const eventLoopDelay = monitorEventLoopDelay();
+  eventLoopDelay.enable();
   const deployment = await startDeployment(size, seededRandom(seed));
   const callers = new Callers(deployment, seededRandom(seed + 1_000_000));
   try {
-    if (!(await callers.untilReady(READY_MS)))
-      throw new Error(`entries are not ready after ${READY_MS} ms; logs in ${deployment.folder}`);
-    const asking = callers.run();
-    await play(deployment, seededRandom(seed + 2_000_000), deployment.nowMs() + seconds * 1000);
-    const calmFromMs = deployment.nowMs();
-    await sleep(CALM_MS);
+    if (!(await callers.untilReady(READY_TIMEOUT_MS)))
+      throw new Error(
+        `entries are not ready after ${READY_TIMEOUT_MS} ms; logs in ${deployment.folder}`,
+      );
+    const sending = callers.run();
+    await scenario(deployment, seededRandom(seed + 2_000_000), deployment.nowMs() + seconds * 1000);
+    const faultsEndedAtMs = deployment.nowMs();
+    await sleep(RECOVERY_PERIOD_MS);
     callers.stop();
-    await sleep(LAST_ANSWERS_MS);
-    await asking;
-    const record = recordOf(deployment, seed, calmFromMs);
+    await sleep(DRAIN_MS);
+    await sending;
+    const record = recordOf(deployment, seed, faultsEndedAtMs);
     return {
       seed,
-      asks: record.asks.length,
-      answered: record.asks.filter((ask) => ask.end?.isComplete).length,
+      requests: record.requests.length,
+      answered: record.requests.filter((request) => request.outcome?.isComplete).length,
       disturbances: record.disturbances.length,
       violations: violationsOf(record),
-      longestOwnPauseMs: Math.round(ownPauses.max / NS_PER_MS),
+      longestStallMs: Math.round(eventLoopDelay.max / NS_PER_MS),
       folder: deployment.folder,
     };
   } finally {
-    ownPauses.disable();
+    eventLoopDelay.disable();
     callers.close();
     await deployment.close();
   }
--- a/bench/soak/signals.ts
+++ b/bench/soak/signals.ts
@@ -1,10 +1,10 @@
-/** Tells whether a program listens for signals: before that nothing it could do keeps them from ending it. */
+/** Detects whether a program has installed its signal handlers; before that, a signal kills it. */
 import { readFileSync } from 'node:fs';
 import { constants } from 'node:os';
 
 /**
- * Whether a process has a listener for SIGHUP, by the kernel's record of it; false when it has ended. Node
- * itself has one for SIGTERM from its start, so that one tells nothing.
+ * Whether a process handles SIGHUP according to `/proc`; false if it has exited. SIGTERM cannot be
+ * used for this: Node itself handles it from its start.
  * @example listensForSignals(child.pid)
  */
 export function listensForSignals(pid: number): boolean {
@@ -14,6 +14,6 @@
   } catch {
     return false;
   }
-  const caught = /^SigCgt:\s*([0-9a-f]+)$/m.exec(status)?.[1] ?? '0';
-  return ((BigInt(`0x${caught}`) >> BigInt(constants.signals.SIGHUP - 1)) & 1n) === 1n;
+  const caughtSignals = /^SigCgt:\s*([0-9a-f]+)$/m.exec(status)?.[1] ?? '0';
+  return ((BigInt(`0x${caughtSignals}`) >> BigInt(constants.signals.SIGHUP - 1)) & 1n) === 1n;
 }
--- a/bench/soak/silence.ts
+++ b/bench/soak/silence.ts
@@ -1,22 +1,35 @@
 /**
- * Open connections fall silent for good, without a reset, while new ones work; in the same seconds a route is taken away
- * and an endpoint leaves. Only a time-out of whoever waits shows it.
+ * Scenarios `silence` and `silence-without-relays`: open connections become unresponsive for good,
+ * without a reset, while new ones work. Within the same seconds a route is removed and an endpoint
+ * leaves. Only a timeout can detect such a connection.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Deployment } from './deployment.js';
-import { addRoute, announceLeaving, during, nextLeaving, removeRoute } from './faults.js';
+import {
+  addRoute,
+  announceLeaving,
+  recordDuring,
+  nextLeavingCandidate,
+  removeRoute,
+} from './faults.js';
 
-/** Time for a new route to be in force before it is taken away again, ms. */
+/** Time for a new route to be applied before it is removed, ms. */
 const SETTLE_MS = 2500;
-/** Longest further time that entries go without relays before the silence, ms: by then they ask the store alone. */
-const LONGEST_ALONE_MS = 5000;
-/** Longest time between the silence and the change, ms: entries are bound again 3 s after the silence. */
-const LATEST_CHANGE_MS = 2500;
-/** Time in which requests show what is in force, ms. */
-const SHOW_MS = 3000;
+/**
+ * Longest additional time without relays before the silence, ms; by then entries poll only the
+ * store.
+ */
+const MAX_DIRECT_MS = 5000;
+/**
+ * Longest time from the silence to the change, ms; entries must be up to date again 3 s after the
+ * silence.
+ */
+const MAX_CHANGE_DELAY_MS = 2500;
+/** Time in which requests show which state is applied, ms. */
+const OBSERVE_MS = 3000;
 
-/** Silences all open connections: to the store, between daemons, to endpoints. */
-function silence(deployment: Deployment): Promise<void> {
+/** Makes all open connections unresponsive: to the store, between daemons, and to endpoints. */
+function silenceAllLinks(deployment: Deployment): Promise<void> {
   const { entries, agents, relayLinks, endpoints } = deployment;
   const instances = [...entries, ...agents];
   const links = [
@@ -25,48 +38,51 @@
     ...endpoints.map(({ proxy }) => proxy),
   ];
   const targets = [...instances.map(({ name }) => name), ...endpoints.map(({ id }) => id)];
-  return during(deployment, 'silence', targets, () => {
+  return recordDuring(deployment, 'silence', targets, () => {
     for (const link of links) link.silence();
   });
 }
 
 /**
- * Lets the entries that tell others what is published stand still while `act` runs, so that the others ask the store.
+ * Suspends the relays of the published state while `act` runs, so that other entries use the store.
  */
 function withoutRelays(deployment: Deployment, act: () => Promise<void>): Promise<void> {
   const relays = deployment.entries.slice(0, deployment.relayLinks.length);
   const names = relays.map(({ name }) => name);
-  return during(deployment, 'pause', names, async () => {
-    for (const { program } of relays) program.pause(true);
+  return recordDuring(deployment, 'pause', names, async () => {
+    for (const { program } of relays) program.setSuspended(true);
     await act();
-    for (const { program } of relays) program.pause(false);
+    for (const { program } of relays) program.setSuspended(false);
   });
 }
 
-/** Lets an endpoint leave: it says so, or its record only goes. */
-function leave(deployment: Deployment, saysSo: boolean): void {
-  const leaving = nextLeaving(deployment);
+/** Lets an endpoint leave: it either announces that, or only its record is removed. */
+function removeEndpoint(deployment: Deployment, isAnnounced: boolean): void {
+  const leaving = nextLeavingCandidate(deployment);
   if (!leaving) return;
-  if (saysSo) return announceLeaving(deployment, leaving);
+  if (isAnnounced) return announceLeaving(deployment, leaving);
   deployment.store.remove(`servers/${leaving.id}`);
-  deployment.withdrawals.push({ what: 'endpoint', name: leaving.id, atMs: deployment.nowMs() });
+  deployment.removals.push({ resource: 'endpoint', name: leaving.id, atMs: deployment.nowMs() });
 }
 
-/** Silences all connections, and then a route is taken away and an endpoint leaves; requests show what is in force. */
+/**
+ * Silences all connections, then removes a route and an endpoint and waits for requests to show the
+ * effect.
+ */
 async function silenceAndChange(
   deployment: Deployment,
   random: () => number,
   route: string,
 ): Promise<void> {
-  await silence(deployment);
-  await sleep(LATEST_CHANGE_MS * random());
+  await silenceAllLinks(deployment);
+  await sleep(MAX_CHANGE_DELAY_MS * random());
   removeRoute(deployment, route);
-  leave(deployment, random() < 0.5);
-  await sleep(SHOW_MS + 1000 * random());
+  removeEndpoint(deployment, random() < 0.5);
+  await sleep(OBSERVE_MS + 1000 * random());
 }
 
-/** Adds a route and lets it come into force, then acts with it, again and again. */
-async function withRoutes(
+/** Repeatedly adds a route, waits until it is applied, and runs `act` with it. */
+async function repeatWithNewRoute(
   deployment: Deployment,
   untilMs: number,
   act: (route: string) => Promise<void>,
@@ -79,19 +95,21 @@
 }
 
 /**
- * Silences all connections again and again while things change.
- * @example await silenceWhileThingsChange(deployment, random, 20_000);
+ * Repeatedly silences all connections while routes and endpoints change.
+ * @example await silenceDuringChanges(deployment, random, 20_000);
  */
-export function silenceWhileThingsChange(
+export function silenceDuringChanges(
   deployment: Deployment,
   random: () => number,
   untilMs: number,
 ): Promise<void> {
-  return withRoutes(deployment, untilMs, (route) => silenceAndChange(deployment, random, route));
+  return repeatWithNewRoute(deployment, untilMs, (route) =>
+    silenceAndChange(deployment, random, route),
+  );
 }
 
 /**
- * The same while the entries that others hear from stand still, so that the others ask the store.
+ * Like `silenceDuringChanges`, but with suspended relays, so that other entries use the store.
  * @example await silenceWithoutRelays(deployment, random, 20_000);
  */
 export function silenceWithoutRelays(
@@ -99,9 +117,9 @@
   random: () => number,
   untilMs: number,
 ): Promise<void> {
-  return withRoutes(deployment, untilMs, (route) =>
+  return repeatWithNewRoute(deployment, untilMs, (route) =>
     withoutRelays(deployment, async () => {
-      await sleep(SETTLE_MS + LONGEST_ALONE_MS * random());
+      await sleep(SETTLE_MS + MAX_DIRECT_MS * random());
       await silenceAndChange(deployment, random, route);
     }),
   );
--- a/test/soak/copies.test.ts
+++ b/test/soak/copies.test.ts
@@ -1,22 +1,22 @@
 /**
- * Story: the store comes back from an older copy while a route and a key are taken away and an endpoint leaves; daemons that go
- * on from revisions of before hear of none of it, and go on by what is no longer so.
- * Evidence: with the programs of before, one of six seeds of this play, the one below: two requests at an endpoint that had
- * left. Most daemons were saved by reading everything anew from another source after a failure; who met none
- * had it. The cause is told in store-copy.test.
+ * Guards against daemons that keep outdated state after the store is restored from an older copy
+ * while a route and a key are removed and an endpoint leaves: a daemon that continues from an old
+ * revision receives none of these changes. It showed in one of six seeds, the one below, as two
+ * requests at an endpoint that had left. Most daemons read everything again from another source
+ * after a failure; only those that met no failure were affected. See store-copy.test for the cause.
  */
 import assert from 'node:assert/strict';
 import { rmSync } from 'node:fs';
 import { test } from 'node:test';
-import { LEAVING_SIZE, PLAYS, soak } from '../../bench/soak/run.js';
+import { LEAVING_SIZE, SCENARIOS, soak } from '../../bench/soak/run.js';
 
-/** Time for three losses, s. */
+/** Duration of three restores, s. */
 const SECONDS = 20;
-/** Two endpoints leave with each loss. */
+/** Two endpoints leave with each restore. */
 const SIZE = { ...LEAVING_SIZE, plain: 12 };
 
-test('real programs keep the promises while the store comes back from copies', async () => {
-  const { violations, folder } = await soak(4, SECONDS, SIZE, PLAYS.copies);
+test('real programs keep the guarantees while the store is restored from copies', async () => {
+  const { violations, folder } = await soak(4, SECONDS, SIZE, SCENARIOS.copies);
   assert.deepEqual(violations, [], `logs in ${folder}`);
   rmSync(folder, { recursive: true });
 });
--- a/test/soak/proxy.test.ts
+++ b/test/soak/proxy.test.ts
@@ -3,15 +3,15 @@
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
 import { setTimeout as wait } from 'node:timers/promises';
-import { LoopbackProxy, resetConnection, WHOLE } from '../../bench/soak/proxy.js';
+import { LoopbackProxy, resetConnection, HEALTHY_LINK } from '../../bench/soak/proxy.js';
 
 const HOST = '127.0.0.1';
 
 interface Link {
   readonly proxy: LoopbackProxy;
   readonly near: Socket;
-  /** What came at each end so far. */
-  readonly got: { near: string; far: string };
+  /** Data received at each end so far. */
+  readonly received: { near: string; far: string };
   readonly far: Socket;
 }
 
@@ -27,12 +27,12 @@
   const proxy = await LoopbackProxy.start({ host: HOST, port }, target);
   const near = connect(port, HOST);
   const [far] = (await once(server, 'connection')) as [Socket];
-  const got = { near: '', far: '' };
-  near.on('data', (piece) => (got.near += piece.toString()));
-  far.on('data', (piece) => (got.far += piece.toString()));
+  const received = { near: '', far: '' };
+  near.on('data', (piece) => (received.near += piece.toString()));
+  far.on('data', (piece) => (received.far += piece.toString()));
   for (const socket of [near, far]) socket.on('error', () => undefined);
   try {
-    await run({ proxy, near, far, got });
+    await run({ proxy, near, far, received: received });
   } finally {
     proxy.close();
     near.destroy();
@@ -40,8 +40,8 @@
   }
 }
 
-test('a whole link carries both ways, in order', async () => {
-  await withLink(async ({ near, far, got }) => {
+test('a healthy link forwards both directions in order', async () => {
+  await withLink(async ({ near, far, received: got }) => {
     near.write('a');
     near.write('b');
     far.write('c');
@@ -50,9 +50,9 @@
   });
 });
 
-test('a delay makes pieces late and keeps their order', async () => {
-  await withLink(async ({ proxy, near, got }) => {
-    proxy.set({ delayMs: 150, cut: [] });
+test('a delay postpones chunks and keeps their order', async () => {
+  await withLink(async ({ proxy, near, received: got }) => {
+    proxy.setLinkState({ delayMs: 150, blocked: [] });
     near.write('a');
     await wait(60);
     assert.equal(got.far, '');
@@ -62,20 +62,20 @@
   });
 });
 
-test('a cut of one way lets the other through, and gives up what it held when it is healed', async () => {
-  await withLink(async ({ proxy, near, far, got }) => {
-    proxy.set({ delayMs: 0, cut: ['out'] });
+test('a blocked direction leaves the other open and delivers held-back data once unblocked', async () => {
+  await withLink(async ({ proxy, near, far, received: got }) => {
+    proxy.setLinkState({ delayMs: 0, blocked: ['out'] });
     near.write('a');
     far.write('c');
     await wait(100);
     assert.deepEqual(got, { near: 'c', far: '' });
-    proxy.set(WHOLE);
+    proxy.setLinkState(HEALTHY_LINK);
     await wait(100);
     assert.equal(got.far, 'a');
   });
 });
 
-test('a reset is a reset at both ends', async () => {
+test('a reset is seen as a reset at both ends', async () => {
   await withLink(async ({ proxy, near, far }) => {
     const errors: string[] = [];
     for (const socket of [near, far])
@@ -86,7 +86,7 @@
   });
 });
 
-test('a reset of a connection that is about to end, or to begin, closes it', async () => {
+test('a reset of a connection that is ending or still connecting closes it', async () => {
   const server = createServer((socket) => socket.resume().on('error', () => undefined));
   server.listen(0, HOST);
   await once(server, 'listening');
--- a/test/soak/silent-connections.test.ts
+++ b/test/soak/silent-connections.test.ts
@@ -1,4 +1,4 @@
-/** Connections that go silent for good, without a reset, while new ones work. */
+/** Open connections become unresponsive for good, without a reset, while new ones work. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { createServer, type AddressInfo } from 'node:net';
@@ -15,12 +15,12 @@
 import { config, endpoint, route, startGateway } from '../gateway/harness.js';
 
 const HOST = '127.0.0.1';
-/** Time after which an instance is bound again, ms. */
+/** Time after which an instance must be up to date again, ms. */
 const CONTACT_MS = 3000;
-/** Time within which a change must be in force once such a connection counts as reset, ms. */
+/** Time within which a change must be applied, with such a connection treated as reset, ms. */
 const CONTACT_AND_APPLY_MS = 5000;
 
-/** A proxy on a free port before an address. */
+/** Starts a proxy on a free port in front of an address. */
 async function proxyTo(target: Address): Promise<{ proxy: LoopbackProxy; port: number }> {
   const probe = createServer().listen(0, HOST);
   await once(probe, 'listening');
@@ -29,13 +29,13 @@
   return { proxy: await LoopbackProxy.start({ host: HOST, port }, target), port };
 }
 
-test('a watch that falls silent is left in time, and what changed meanwhile is in force', async () => {
+test('an unresponsive watch is abandoned in time, and changes made meanwhile are applied', async () => {
   const store = await startStore();
   const document = { version: 1, routes: [], services: [], limits: {} };
   store.put('op/config', document);
   const { proxy, port } = await proxyTo({ host: store.host, port: store.port });
   const state = new PublishedState();
-  const ending = new AbortController();
+  const shutdown = new AbortController();
   const following = followPublished(
     {
       source: connectStore(`http://${HOST}:${port}`),
@@ -46,7 +46,7 @@
       random: () => 0.5,
       pace: entryPace(CONTACT_MS),
     },
-    ending.signal,
+    shutdown.signal,
   );
   while (!state.config) await wait(10);
   await wait(50);
@@ -57,59 +57,59 @@
     assert.ok(systemClock.nowMs() - silencedAtMs < CONTACT_AND_APPLY_MS);
     await wait(20);
   }
-  ending.abort();
+  shutdown.abort();
   proxy.close();
   store.close();
   await following;
 });
 
-test('requests on kept connections that fell silent are answered in time, and the next ones at once', async () => {
+test('requests on unresponsive kept connections are answered in time, and later ones at once', async () => {
   const ok: RawAnswer = (req) => req.socket.write(okAnswer(req, 'fine'));
   const raw = await Promise.all([startRawEndpoint(ok), startRawEndpoint(ok)]);
   const links = await Promise.all(
     raw.map(({ address }) => proxyTo({ host: HOST, port: Number(address.split(':')[1]) })),
   );
   const listed = links.map(({ port }, i) => endpoint(`e-${i}`, `${HOST}:${port}`));
-  const under = await startGateway(config([route({ targetMs: 100, maxAttempts: 2 })]), listed);
-  for (let i = 0; i < 4; i += 1) assert.equal((await under.ask(`q-${i}`)).status, 200);
+  const gateway = await startGateway(config([route({ targetMs: 100, maxAttempts: 2 })]), listed);
+  for (let i = 0; i < 4; i += 1) assert.equal((await gateway.ask(`q-${i}`)).status, 200);
   links[0]?.proxy.silence();
   for (let i = 4; i < 8; i += 1) {
-    const got = await under.ask(`q-${i}`);
+    const got = await gateway.ask(`q-${i}`);
     assert.equal(got.status, 200);
     assert.ok(got.tookMs < 400, `${got.tookMs} ms`);
   }
-  for (let i = 8; i < 12; i += 1) assert.ok((await under.ask(`q-${i}`)).tookMs < 100);
-  under.close();
+  for (let i = 8; i < 12; i += 1) assert.ok((await gateway.ask(`q-${i}`)).tookMs < 100);
+  gateway.close();
   for (const { proxy } of links) proxy.close();
   for (const each of raw) each.close();
 });
 
 /**
- * Story: after open connections to an endpoint fell silent, each of those that an entry kept cost one caller its answer; for
- * requests that may run once only, nothing may be sent again.
- * Evidence: this test on the code before: after the first, four of five callers got no answer.
+ * Guards against losing one request per unresponsive kept connection: a request that may run only
+ * once cannot be retried. Without the guard, four of the five callers after the first lost request
+ * got no answer.
  */
-test('of requests that may run once, one alone is lost when all kept connections to an endpoint fell silent', async () => {
+test('only one request that may run once is lost when all kept connections to an endpoint become unresponsive', async () => {
   const ok: RawAnswer = (req) => setTimeout(() => req.socket.write(okAnswer(req, 'fine')), 30);
   const raw = await startRawEndpoint(ok);
   const { proxy, port } = await proxyTo({ host: HOST, port: Number(raw.address.split(':')[1]) });
   const cfg = config([route({ kind: 'once', timeoutMs: 300 })]);
-  const under = await startGateway(cfg, [endpoint('e-1', `${HOST}:${port}`)]);
+  const gateway = await startGateway(cfg, [endpoint('e-1', `${HOST}:${port}`)]);
   try {
-    const first = await Promise.all([1, 2, 3, 4, 5].map((i) => under.ask(`first-${i}`)));
+    const first = await Promise.all([1, 2, 3, 4, 5].map((i) => gateway.ask(`first-${i}`)));
     assert.deepEqual(
       first.map((got) => got.status),
       [200, 200, 200, 200, 200],
     );
     proxy.silence();
-    assert.equal((await under.ask('lost')).status, 504);
-    const later = await Promise.all([1, 2, 3, 4, 5].map((i) => under.ask(`later-${i}`)));
+    assert.equal((await gateway.ask('lost')).status, 504);
+    const later = await Promise.all([1, 2, 3, 4, 5].map((i) => gateway.ask(`later-${i}`)));
     assert.deepEqual(
       later.map((got) => got.status),
       [200, 200, 200, 200, 200],
     );
   } finally {
-    under.close();
+    gateway.close();
     proxy.close();
     raw.close();
   }
--- a/test/soak/silent-fleet.ts
+++ b/test/soak/silent-fleet.ts
@@ -1,4 +1,7 @@
-/** Followers of the published state before a store and relays whose open connections can be silenced, all in this process. */
+/**
+ * In-process followers of the published state, whose open connections to the store and relays can
+ * be made unresponsive.
+ */
 import { setMaxListeners } from 'node:events';
 import type { Server } from 'node:http';
 import { setTimeout as wait } from 'node:timers/promises';
@@ -24,15 +27,17 @@
 import { KeptConnections } from '../../src/runtime/kept-connections.js';
 import { until } from '../fixtures/until.js';
 
-/** After its connections fell silent a daemon is bound again by what is published from so long on, ms. */
+/**
+ * Time after its connections became unresponsive from which a daemon must be up to date again, ms.
+ */
 const CONTACT_MS = 3000;
-/** Time for which the store keeps idle connections, ms: a client may hold some that fell silent. */
+/** Idle timeout of store connections, ms; long enough that clients hold unresponsive ones. */
 const STORE_IDLE_MS = 65_000;
 
-/** Endpoints whose leaving is watched: one says that it leaves, of the other only the record goes. */
-const LEAVES = { saysSo: 'says-so', isGone: 'is-gone' } as const;
+/** Endpoints that leave: one announces it, of the other only the record is removed. */
+const LEAVING = { announced: 'says-so', removed: 'is-gone' } as const;
 
-/** What is published, by version. */
+/** The published configuration of a version. */
 function configDocument(version: number): object {
   return { version, routes: [], services: [{ name: 's-1' }], limits: {} };
 }
@@ -41,68 +46,71 @@
   return { service: 's-1', address: '10.0.0.1:80', zone: 'a', slots: 6, state };
 }
 
-/** First port of a fleet at its own address. */
+/** First port of a fleet on its own address. */
 const FIRST_PORT = 20_000;
-let fleets = 0;
+let fleetCount = 0;
 
-/** An address for each fleet: no outgoing connection of another test takes a port there. */
+/**
+ * A separate address for each fleet, so that no outgoing connection of another test takes its
+ * ports.
+ */
 function nextHost(): string {
-  fleets += 1;
-  return `127.${1 + (process.pid % 200)}.${fleets}.1`;
+  fleetCount += 1;
+  return `127.${1 + (process.pid % 200)}.${fleetCount}.1`;
 }
 
-/** A fleet of daemons that follow what is published. */
-export class SilentFleet {
+/** Daemons that follow the published state. */
+export class FollowerFleet {
   readonly states: PublishedState[] = [];
   private readonly proxies: LoopbackProxy[] = [];
   private readonly servers: Server[] = [];
-  private readonly following: Promise<void>[] = [];
-  private readonly ending = new AbortController();
+  private readonly followers: Promise<void>[] = [];
+  private readonly shutdown = new AbortController();
   private readonly host = nextHost();
   private ports = FIRST_PORT;
   private relays: readonly { readonly address: string; readonly control: Address }[] = [];
 
   private constructor(private readonly store: StoreFake) {
-    // Each daemon listens to the one end of the fleet.
-    setMaxListeners(0, this.ending.signal);
+    // Each daemon adds a listener to this signal.
+    setMaxListeners(0, this.shutdown.signal);
   }
 
   /** Starts a fleet without daemons; its store holds a first configuration and two endpoints. */
-  static async start(): Promise<SilentFleet> {
+  static async start(): Promise<FollowerFleet> {
     const store = await startStore(STORE_IDLE_MS);
     store.put('op/config', configDocument(1));
-    for (const id of Object.values(LEAVES)) store.put(`servers/${id}`, endpointRecord('ready'));
-    return new SilentFleet(store);
+    for (const id of Object.values(LEAVING)) store.put(`servers/${id}`, endpointRecord('ready'));
+    return new FollowerFleet(store);
   }
 
-  /** Silences every open connection of the fleet, for good and without a reset; new ones work. */
+  /** Makes every open connection unresponsive for good, without a reset; new ones work. */
   silence(): void {
     for (const proxy of this.proxies) proxy.silence();
   }
 
-  /** Publishes the second version, and lets both endpoints leave. */
+  /** Publishes the second configuration version and lets both endpoints leave. */
   change(): void {
     this.store.put('op/config', configDocument(2));
-    this.store.put(`servers/${LEAVES.saysSo}`, endpointRecord('draining'));
-    this.store.remove(`servers/${LEAVES.isGone}`);
+    this.store.put(`servers/${LEAVING.announced}`, endpointRecord('draining'));
+    this.store.remove(`servers/${LEAVING.removed}`);
   }
 
-  /** How many daemons have taken a first configuration. */
+  /** Number of daemons that have applied a first configuration. */
   get started(): number {
     return this.states.filter((state) => state.config !== undefined).length;
   }
 
-  /** What the daemons that are not told otherwise by now act on wrongly, in words. */
-  wrong(): string[] {
+  /** Describes each daemon that still uses outdated state. */
+  staleDaemons(): string[] {
     return this.states.flatMap((state, i) => [
       ...(state.config?.version === 2 ? [] : [`daemon ${i}: configuration`]),
-      ...Object.values(LEAVES)
+      ...Object.values(LEAVING)
         .filter((id) => state.takesWork(asId(id)))
         .map((id) => `daemon ${i}: endpoint ${id}`),
     ]);
   }
 
-  /** Starts a daemon that asks the store alone. */
+  /** Starts a daemon that reads from the store only. */
   async followStore(): Promise<void> {
     const state = new PublishedState();
     this.states.push(state);
@@ -113,8 +121,8 @@
     });
   }
 
-  /** Names the relays that daemons started from now on hear from. */
-  async nameRelays(count: number): Promise<void> {
+  /** Starts proxies for the relays that daemons started later read from. */
+  async startRelayProxies(count: number): Promise<void> {
     this.relays = await Promise.all(
       Array.from({ length: count }, async () => {
         const control = this.nextAddress();
@@ -124,7 +132,7 @@
     );
   }
 
-  /** Starts a daemon that hears from the relays; with `at` it is that relay itself. */
+  /** Starts a daemon that reads from the relays; with `at` it is that relay itself. */
   async followRelays(at?: number): Promise<void> {
     const state = new PublishedState();
     this.states.push(state);
@@ -154,7 +162,7 @@
     this.follow({ state, source, pace, onLearnt: () => relay.noteLearnt() });
   }
 
-  /** A way of one daemon to the store that can be silenced. */
+  /** URL of a new proxy to the store, for one daemon. */
   private async storeUrl(): Promise<string> {
     const { host, port } = await this.startProxy({ host: this.store.host, port: this.store.port });
     return `http://${host}:${port}`;
@@ -173,29 +181,30 @@
 
   private follow(parts: Pick<FollowParts, 'state' | 'source' | 'pace' | 'onLearnt'>): void {
     const metrics = new Metrics();
-    const rest = { clock: systemClock, log: silentLog, metrics, random: Math.random };
-    this.following.push(followPublished({ ...parts, ...rest }, this.ending.signal));
+    const common = { clock: systemClock, log: silentLog, metrics, random: Math.random };
+    this.followers.push(followPublished({ ...parts, ...common }, this.shutdown.signal));
   }
 
-  /** Ends everything. */
+  /** Stops all daemons, proxies and servers. */
   async close(): Promise<void> {
-    this.ending.abort();
+    this.shutdown.abort();
     for (const proxy of this.proxies) proxy.close();
     for (const server of this.servers) server.close();
     this.store.close();
-    await Promise.all(this.following);
+    await Promise.all(this.followers);
   }
 }
 
-/** Time within which a change must be in force, ms. */
+/** Time within which a change must be applied, ms. */
 const APPLY_MS = 2000;
 
-/** How often it is looked how long this process has run, ms. */
+/** Interval at which `runFor` measures how long this process has run, ms. */
 const TICK_MS = 10;
 
 /**
- * Waits until this process has run for so long: on a busy machine the daemons and their store, which are a part of it, stand
- * still as long as the test does. Beside 25 processes that ask for 8 processors all of them were late by their own stops.
+ * Waits until this process has actually run for `ms`. On a busy machine the daemons and their store
+ * stall together with the test, because they share its process: beside 25 processes on 8 processors
+ * all daemons were late because of their own stalls.
  */
 async function runFor(ms: number): Promise<void> {
   let ranMs = 0;
@@ -207,14 +216,14 @@
 }
 
 /**
- * Silences a fleet, changes what is published `afterMs` later, and tells who acts wrongly once the time for it is over.
- * @example assert.deepEqual(await wrongAfterSilence(fleet, 500), []);
+ * Silences a fleet, publishes a change `afterMs` later, and returns who is stale after the allowed time.
+ * @example assert.deepEqual(await staleAfterSilence(fleet, 500), []);
  */
-export async function wrongAfterSilence(fleet: SilentFleet, afterMs: number): Promise<string[]> {
-  await until('all daemons know what is published', () => fleet.started === fleet.states.length);
+export async function staleAfterSilence(fleet: FollowerFleet, afterMs: number): Promise<string[]> {
+  await until('all daemons have a configuration', () => fleet.started === fleet.states.length);
   fleet.silence();
   await runFor(afterMs);
   fleet.change();
   await runFor(Math.max(CONTACT_MS - afterMs, APPLY_MS));
-  return fleet.wrong();
+  return fleet.staleDaemons();
 }
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -1,23 +1,23 @@
-/** A short seeded soak, and the seeds that ever failed. */
+/** A short seeded soak run, and the seeds that once failed. */
 import assert from 'node:assert/strict';
 import { rmSync } from 'node:fs';
 import { describe, test } from 'node:test';
 import { REGRESSIONS } from '../../bench/soak/regressions.js';
 import { soak } from '../../bench/soak/run.js';
 
-/** Seconds of disturbances in CI; by hand it is `npm run soak`. */
+/** Seconds of disturbances in CI; `npm run soak` allows longer runs. */
 const SECONDS = 6;
 
 async function isClean(seed: number): Promise<void> {
-  const { violations, asks, answered, longestOwnPauseMs, folder } = await soak(seed, SECONDS);
-  const where = `seed ${seed}, own pause ${longestOwnPauseMs} ms, logs in ${folder}`;
+  const { violations, requests, answered, longestStallMs, folder } = await soak(seed, SECONDS);
+  const where = `seed ${seed}, own pause ${longestStallMs} ms, logs in ${folder}`;
   assert.deepEqual(violations, [], where);
-  assert.ok(answered > asks / 3, `${answered} of ${asks} answered`);
+  assert.ok(answered > requests / 3, `${answered} of ${requests} answered`);
   rmSync(folder, { recursive: true });
 }
 
-// A file has two minutes, and a seed takes 18 s, most of which it waits.
+// A test file may take two minutes. A seed takes 18 s and mostly waits, so seeds run concurrently.
 describe('soak', { concurrency: 5 }, () => {
-  test('real programs keep the promises under overlapping faults', () => isClean(1));
+  test('real programs keep the guarantees under overlapping faults', () => isClean(1));
   for (const { seed, cause } of REGRESSIONS) test(`seed ${seed}: ${cause}`, () => isClean(seed));
 });
