--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -74,7 +74,8 @@
         report(result);
         if (result.violations.length > 0) failed += 1;
       } catch (err) {
-        // If the programs cannot start, for example on a busy machine, the seed is neither clean nor failed.
+        // If the programs cannot start, for example on a busy machine, the seed is neither clean nor
+        // failed.
         process.stdout.write(`seed ${seed}: not run: ${String(err)}\n`);
         notRun += 1;
       }
--- a/bench/soak/silence.ts
+++ b/bench/soak/silence.ts
@@ -16,8 +16,8 @@
 /** Time for a new route to be applied before it is removed, ms. */
 const SETTLE_MS = 2500;
 /**
- * Longest additional time without relays before the silence, ms; by then entries poll only the
- * store.
+ * Longest additional time without relays before the silence, ms; by then entries read only
+ * from the store.
  */
 const MAX_DIRECT_MS = 5000;
 /**
--- a/test/soak/silent-fleet.ts
+++ b/test/soak/silent-fleet.ts
@@ -59,7 +59,7 @@
   return `127.${1 + (process.pid % 200)}.${fleetCount}.1`;
 }
 
-/** Daemons that follow the published state. */
+/** Daemons that follow the published state through proxies to the store and to relays. */
 export class FollowerFleet {
   readonly states: PublishedState[] = [];
   private readonly proxies: LoopbackProxy[] = [];
