--- a/bench/harness/caller.ts
+++ b/bench/harness/caller.ts
@@ -1,145 +1,150 @@
-/** A caller as real ones are: asks an entry, and asks again elsewhere when it got no clear word. */
+/** HTTP client that sends requests to an entry and verifies the response body. */
 import { request, type Dispatcher } from 'undici';
 import { EventSplitter } from '../../src/gateway/event-splitter.js';
 import { MODEL, SERVICE, testKey } from './cluster-spec.js';
 
-/** What one ask came to. */
-export type AskOutcome = 'answered' | 'not-run' | 'unknown' | 'broken';
+/** Outcome of a request: `unknown` if it may have run, `broken` if the response is incomplete. */
+export type RequestOutcome = 'answered' | 'not-run' | 'unknown' | 'broken';
 
-/** One ask of one request at one entry. */
+/** One request to an entry, and its result. */
 export interface Ask {
   readonly kind: 'chat' | 'chat-whole' | 'once' | 'many';
-  /** Names the request in prompts and bodies; each ask of a model has its own. */
+  /** Marker in the prompt or body that the response repeats; each model request has its own. */
   readonly nonce: string;
   readonly organisation: string;
   readonly port: number;
   readonly startMs: number;
   endMs: number;
-  outcome: AskOutcome;
+  outcome: RequestOutcome;
   reason: string;
-  /** Whether the answer held all of its own parts. */
+  /** Whether the response contained everything that was requested. */
   whole: boolean;
-  /** Whether the answer held anything of another request. */
-  crossed: boolean;
+  /** Whether the response contained content of another request. */
+  hasForeignContent: boolean;
 }
 
-/** What to ask. */
-export interface AskOptions {
+/** Optional settings of a request. */
+export interface RequestOptions {
   readonly tokens?: number;
   readonly deadlineMs?: number;
   readonly prompt?: string;
   readonly dispatcher?: Dispatcher;
 }
 
-const TIMEOUT_MS = 20_000;
+const RESPONSE_TIMEOUT_MS = 20_000;
 
-function judgeText(ask: Ask, text: string, tokens: number): void {
-  const parts = text.split(' ').filter((p) => p !== '');
-  ask.crossed = parts.some((p) => !p.startsWith(`${ask.nonce}:`));
-  ask.whole = parts.length === tokens && parts.every((p, i) => p === `${ask.nonce}:${i}`);
+function verifyTokens(result: Ask, text: string, tokens: number): void {
+  const received = text.split(' ').filter((p) => p !== '');
+  result.hasForeignContent = received.some((p) => !p.startsWith(`${result.nonce}:`));
+  result.whole =
+    received.length === tokens && received.every((p, i) => p === `${result.nonce}:${i}`);
 }
 
-async function readProblem(ask: Ask, res: Dispatcher.ResponseData): Promise<void> {
+async function readProblem(result: Ask, res: Dispatcher.ResponseData): Promise<void> {
   const problem = (await res.body.json()) as { outcome?: string; reason?: string };
-  ask.outcome = problem.outcome === 'not-run' ? 'not-run' : 'unknown';
-  ask.reason = problem.reason ?? String(res.statusCode);
+  result.outcome = problem.outcome === 'not-run' ? 'not-run' : 'unknown';
+  result.reason = problem.reason ?? String(res.statusCode);
 }
 
-/** Data of the last event of a whole stream. */
-const END_MARK = '[DONE]';
+/** Data of the event that ends a complete stream. */
+const DONE_MARKER = '[DONE]';
 
-async function readStream(ask: Ask, res: Dispatcher.ResponseData, tokens: number): Promise<void> {
+async function readStream(
+  result: Ask,
+  res: Dispatcher.ResponseData,
+  tokens: number,
+): Promise<void> {
   const splitter = new EventSplitter();
   let text = '';
-  ask.outcome = 'broken';
-  for await (const piece of res.body as AsyncIterable<Buffer>) {
-    for (const { bytes } of splitter.push(piece)) {
+  result.outcome = 'broken';
+  for await (const chunk of res.body as AsyncIterable<Buffer>) {
+    for (const { bytes } of splitter.push(chunk)) {
       const data = /^data: (.*)$/m.exec(bytes.toString())?.[1] ?? '';
-      if (data === END_MARK) ask.outcome = 'answered';
-      else text += deltaOf(data);
+      if (data === DONE_MARKER) result.outcome = 'answered';
+      else text += tokenText(data);
     }
   }
-  if (ask.outcome === 'answered') judgeText(ask, text, tokens);
+  if (result.outcome === 'answered') verifyTokens(result, text, tokens);
 }
 
-function deltaOf(data: string): string {
+function tokenText(data: string): string {
   const chunk = JSON.parse(data) as { choices: { delta: { content: string } }[] };
   return chunk.choices[0]?.delta.content ?? '';
 }
 
-async function askChat(ask: Ask, stream: boolean, options: AskOptions): Promise<void> {
+async function requestChat(result: Ask, stream: boolean, options: RequestOptions): Promise<void> {
   const tokens = options.tokens ?? 16;
-  const content = `${options.prompt ?? 'Passenger summary.'} nonce=${ask.nonce}`;
-  const res = await request(`http://127.0.0.1:${ask.port}/v1/chat/completions`, {
+  const content = `${options.prompt ?? 'Passenger summary.'} nonce=${result.nonce}`;
+  const res = await request(`http://127.0.0.1:${result.port}/v1/chat/completions`, {
     method: 'POST',
-    headers: headersOf(ask, options),
+    headers: requestHeaders(result, options),
     body: JSON.stringify({
       model: MODEL,
       stream,
       max_tokens: tokens,
       messages: [{ role: 'user', content }],
     }),
-    headersTimeout: TIMEOUT_MS,
-    bodyTimeout: TIMEOUT_MS,
+    headersTimeout: RESPONSE_TIMEOUT_MS,
+    bodyTimeout: RESPONSE_TIMEOUT_MS,
     dispatcher: options.dispatcher,
   });
-  if (res.statusCode !== 200) return readProblem(ask, res);
-  if (stream) return readStream(ask, res, tokens);
+  if (res.statusCode !== 200) return readProblem(result, res);
+  if (stream) return readStream(result, res, tokens);
   const data = (await res.body.json()) as { choices: { message: { content: string } }[] };
-  ask.outcome = 'answered';
-  judgeText(ask, data.choices[0]?.message.content ?? '', tokens);
+  result.outcome = 'answered';
+  verifyTokens(result, data.choices[0]?.message.content ?? '', tokens);
 }
 
-async function askService(ask: Ask, options: AskOptions): Promise<void> {
-  const once = ask.kind === 'once';
-  const path = once
+async function requestService(result: Ask, options: RequestOptions): Promise<void> {
+  const isPost = result.kind === 'once';
+  const path = isPost
     ? `/services/${SERVICE}/bags`
-    : `/services/${SERVICE}/passes?nonce=${ask.nonce}`;
-  const res = await request(`http://127.0.0.1:${ask.port}${path}`, {
-    method: once ? 'POST' : 'GET',
-    headers: headersOf(ask, options),
-    ...(once ? { body: JSON.stringify({ nonce: ask.nonce }) } : {}),
-    headersTimeout: TIMEOUT_MS,
-    bodyTimeout: TIMEOUT_MS,
+    : `/services/${SERVICE}/passes?nonce=${result.nonce}`;
+  const res = await request(`http://127.0.0.1:${result.port}${path}`, {
+    method: isPost ? 'POST' : 'GET',
+    headers: requestHeaders(result, options),
+    ...(isPost ? { body: JSON.stringify({ nonce: result.nonce }) } : {}),
+    headersTimeout: RESPONSE_TIMEOUT_MS,
+    bodyTimeout: RESPONSE_TIMEOUT_MS,
     dispatcher: options.dispatcher,
   });
-  if (res.statusCode !== 200) return readProblem(ask, res);
+  if (res.statusCode !== 200) return readProblem(result, res);
   const data = (await res.body.json()) as { nonce: string };
-  ask.outcome = 'answered';
-  ask.crossed = data.nonce !== ask.nonce;
-  ask.whole = !ask.crossed;
+  result.outcome = 'answered';
+  result.hasForeignContent = data.nonce !== result.nonce;
+  result.whole = !result.hasForeignContent;
 }
 
-function headersOf(ask: Ask, options: AskOptions): Record<string, string> {
+function requestHeaders(result: Ask, options: RequestOptions): Record<string, string> {
   return {
-    authorization: `Bearer ${testKey(ask.organisation)}`,
+    authorization: `Bearer ${testKey(result.organisation)}`,
     'content-type': 'application/json',
     ...(options.deadlineMs ? { 'harrierglade-deadline': String(options.deadlineMs) } : {}),
   };
 }
 
-/** Asks once and notes what came of it; never throws. */
+/** Sends one request and records its result; never throws. */
 export async function askOnce(
-  base: Pick<Ask, 'kind' | 'nonce' | 'organisation' | 'port'>,
-  options: AskOptions = {},
+  target: Pick<Ask, 'kind' | 'nonce' | 'organisation' | 'port'>,
+  options: RequestOptions = {},
 ): Promise<Ask> {
-  const ask: Ask = {
-    ...base,
+  const result: Ask = {
+    ...target,
     startMs: Date.now(),
     endMs: 0,
     outcome: 'broken',
     reason: '',
     whole: false,
-    crossed: false,
+    hasForeignContent: false,
   };
   try {
-    if (ask.kind === 'chat' || ask.kind === 'chat-whole')
-      await askChat(ask, ask.kind === 'chat', options);
-    else await askService(ask, options);
+    if (result.kind === 'chat' || result.kind === 'chat-whole')
+      await requestChat(result, result.kind === 'chat', options);
+    else await requestService(result, options);
   } catch (err) {
-    ask.outcome = 'broken';
-    ask.reason = String((err as NodeJS.ErrnoException).code ?? err);
+    result.outcome = 'broken';
+    result.reason = String((err as NodeJS.ErrnoException).code ?? err);
   }
-  ask.endMs = Date.now();
-  return ask;
+  result.endMs = Date.now();
+  return result;
 }
--- a/bench/harness/cluster-spec.ts
+++ b/bench/harness/cluster-spec.ts
@@ -1,4 +1,4 @@
-/** What a cluster is made of, and the configuration that a fresh one publishes. */
+/** Specification of a cluster, and the configuration that it publishes first. */
 import type { GroupOptions } from '../../fakes/model-engine/index.js';
 import { keyHash } from '../../src/core/config-feed/index.js';
 import type {
@@ -7,39 +7,39 @@
 } from '../../src/generated/configuration.types.js';
 import type { Settings } from '../../src/generated/settings.types.js';
 
-/** One organisation with its key. */
+/** One organisation; its key is `testKey(id)`. */
 export interface OrganisationSpec {
   readonly id: string;
   readonly weight: number;
   readonly tokensPerSecond: number;
 }
 
-/** What to start. */
+/** Processes to start, and their settings. */
 export interface ClusterSpec {
   readonly dataCentres: readonly string[];
   readonly entriesPerCentre: number;
   readonly servicesPerCentre: number;
-  /** Ranks of the one group in each data centre. */
+  /** Ranks of the model group in each data centre, which has one group. */
   readonly ranksPerCentre: number;
   readonly group?: Partial<GroupOptions>;
   readonly organisations: readonly OrganisationSpec[];
   readonly policy?: Partial<ConfigurationBody['policy']>;
-  readonly listLagMs?: number;
-  readonly serviceMs?: number;
+  readonly listDelayMs?: number;
+  readonly serviceTimeMs?: number;
   readonly timing?: Settings['timing'];
   readonly limits?: Settings['limits'];
 }
 
-/** Names of the one model and the one service of a cluster. */
+/** Names of the only model and the only service of a cluster. */
 export const MODEL = 'passenger-summary';
 export const SERVICE = 'boarding';
 
-/** Bearer key of an organisation in tests. */
+/** API key of an organisation in tests, sent as a bearer token. */
 export function testKey(organisation: string): string {
   return `key-of-${organisation}`;
 }
 
-/** An organisation as it is published. */
+/** Configuration entry of an organisation. */
 export function organisationConfig(spec: OrganisationSpec): OrganisationConfig {
   return { ...spec, keySha256: keyHash(testKey(spec.id)) };
 }
@@ -71,8 +71,8 @@
   };
 }
 
-/** The body that a fresh cluster publishes: one model on all engines, one service on all services. */
-export function freshBody(
+/** First configuration of a cluster: one model on all engines, one service on all service endpoints. */
+export function initialConfiguration(
   spec: ClusterSpec,
   engines: readonly string[],
   services: readonly string[],
--- a/bench/harness/cluster.ts
+++ b/bench/harness/cluster.ts
@@ -1,4 +1,4 @@
-/** A whole deployment as separate processes on loopback: stand-ins, agents and entries. */
+/** A deployment in separate processes on loopback: platform and endpoint fakes, agents and entries. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -14,41 +14,41 @@
 import type { Settings } from '../../src/generated/settings.types.js';
 import {
   endProcess,
-  jsonLine,
+  parseJsonLine,
   readyPorts,
   signalProcess,
   startProcess,
-  type ReadyPorts,
-  type Spawned,
+  type DaemonPorts,
+  type SpawnedProcess,
 } from './processes.js';
-import { freshBody, type ClusterSpec } from './cluster-spec.js';
+import { initialConfiguration, type ClusterSpec } from './cluster-spec.js';
 
-/** One daemon of the cluster; it keeps its name when it is started again. */
+/** One daemon of the cluster; it keeps its name across restarts. */
 export interface Member {
   readonly name: string;
   readonly role: 'entry' | 'agent';
   readonly dataCentre: string;
   readonly endpoint: string | undefined;
   settings: Settings;
-  process: Spawned;
-  ports: ReadyPorts;
+  process: SpawnedProcess;
+  ports: DaemonPorts;
 }
 
 /** A running cluster. */
 export class Cluster {
   readonly members: Member[] = [];
-  readonly engines: { endpoint: string; url: string; process: Spawned }[] = [];
-  readonly services: { endpoint: string; url: string; process: Spawned }[] = [];
+  readonly engines: { endpoint: string; url: string; process: SpawnedProcess }[] = [];
+  readonly services: { endpoint: string; url: string; process: SpawnedProcess }[] = [];
   doc: ConfigurationDocument | undefined;
-  private platform: Spawned | undefined;
+  private platform: SpawnedProcess | undefined;
   private platformUrl = '';
   private readonly leaving = new Set<string>();
-  /** Where the settings of its daemons lie. */
-  private readonly folder = mkdtempSync(join(tmpdir(), 'harrierglade-'));
+  /** Directory of the settings files of the daemons. */
+  private readonly settingsDir = mkdtempSync(join(tmpdir(), 'harrierglade-'));
 
   private constructor(readonly spec: ClusterSpec) {}
 
-  /** Starts everything and waits until every entry holds the configuration and the list. */
+  /** Starts all processes; waits until every daemon has the configuration and the instance list. */
   static async start(spec: ClusterSpec): Promise<Cluster> {
     const cluster = new Cluster(spec);
     try {
@@ -70,30 +70,30 @@
 
   member(name: string): Member {
     const found = this.members.find((m) => m.name === name);
-    if (!found) throw new Error(`no member ${name}`);
+    if (!found) throw new Error(`the cluster has no daemon named ${name}`);
     return found;
   }
 
-  /** Publishes a body. */
+  /** Publishes a configuration. */
   async publish(body: ConfigurationBody, basedOn?: number): Promise<ConfigurationDocument> {
-    this.doc = (await this.control('publish', { body, basedOn })) as ConfigurationDocument;
+    this.doc = (await this.postControl('publish', { body, basedOn })) as ConfigurationDocument;
     return this.doc;
   }
 
-  async platformMode(mode: PlatformMode): Promise<void> {
-    await this.control('mode', { mode });
+  async setPlatformMode(mode: PlatformMode): Promise<void> {
+    await this.postControl('mode', { mode });
   }
 
-  /** Makes the platform show an old document, and no list, until its mode is set again. */
+  /** Makes the platform serve an old document and no instance list until its mode is set again. */
   async freezePlatform(version: number): Promise<void> {
-    await this.control('freeze', { freezeAt: version });
+    await this.postControl('freeze', { freezeAt: version });
   }
 
   async platformCalls(): Promise<number> {
-    return ((await this.control('calls', {})) as { calls: number }).calls;
+    return ((await this.postControl('calls', {})) as { calls: number }).calls;
   }
 
-  /** Publishes the present members as the list; some may be marked as leaving. */
+  /** Publishes the instance list of all daemons and endpoints; some may be marked as leaving. */
   async publishList(): Promise<void> {
     const daemons = this.members.map((m): InstanceRecord => ({
       instance: m.name,
@@ -116,7 +116,7 @@
       }),
     );
     const instances = [...daemons, ...endpoints];
-    await this.control('instances', { instances });
+    await this.postControl('instances', { instances });
   }
 
   async markLeaving(name: string): Promise<void> {
@@ -124,23 +124,23 @@
     await this.publishList();
   }
 
-  /** Starts a stopped member again and lists it as live. */
+  /** Restarts a daemon that was marked as leaving and lists it as live. */
   async unmarkLeaving(name: string): Promise<void> {
     this.leaving.delete(name);
     await this.restart(name);
   }
 
-  /** Starts a member again, as a new incarnation under the same name. */
+  /** Kills a daemon and starts a new incarnation under the same name. */
   async restart(name: string): Promise<void> {
     const member = this.member(name);
     await endProcess(member.process);
-    await this.launch(member);
+    await this.startDaemon(member);
     await this.publishList();
   }
 
-  /** Starts a member again while the platform cannot list it. */
+  /** Starts a daemon again without publishing it in the instance list. */
   async restartUnlisted(name: string): Promise<void> {
-    await this.launch(this.member(name));
+    await this.startDaemon(this.member(name));
   }
 
   signal(name: string, signal: NodeJS.Signals): void {
@@ -175,7 +175,7 @@
     return lists.flat() as EngineExecution[];
   }
 
-  /** Maps used by the ranks of each data centre's group. */
+  /** Expert maps that each rank has used. */
   async mapUses(): Promise<{ rank: string; uses: MapUse[] }[]> {
     return Promise.all(
       this.engines.map(async (e) => ({
@@ -185,26 +185,26 @@
     );
   }
 
-  async controlEngine(endpoint: string, data: object): Promise<void> {
+  async stallEngine(endpoint: string, data: object): Promise<void> {
     const engine = this.engines.find((e) => e.endpoint === endpoint);
     if (engine) await postJson(`${engine.url}/control/stall`, data);
   }
 
-  /** Ends every process of the cluster. */
+  /** Kills every process of the cluster and removes the settings files. */
   async stop(): Promise<void> {
-    const all = [
+    const processes = [
       ...this.members.map((m) => m.process),
       ...this.engines.map((e) => e.process),
       ...this.services.map((s) => s.process),
     ];
-    if (this.platform) all.push(this.platform);
-    await Promise.all([...new Set(all)].map(endProcess));
-    rmSync(this.folder, { recursive: true, force: true });
+    if (this.platform) processes.push(this.platform);
+    await Promise.all([...new Set(processes)].map(endProcess));
+    rmSync(this.settingsDir, { recursive: true, force: true });
   }
 
-  /** The body that a fresh cluster publishes. */
+  /** First configuration of the cluster. */
   freshBody(): ConfigurationBody {
-    return freshBody(
+    return initialConfiguration(
       this.spec,
       this.engines.map((e) => e.endpoint),
       this.services.map((e) => e.endpoint),
@@ -216,14 +216,14 @@
     const platform = await startProcess(
       'platform',
       'fakes/platform/main.js',
-      [String(spec.listLagMs ?? 0)],
-      jsonLine<{ url: string }>,
+      [String(spec.listDelayMs ?? 0)],
+      parseJsonLine<{ url: string }>,
     );
     this.platform = platform.process;
     this.platformUrl = platform.value.url;
     await Promise.all(spec.dataCentres.map((dc) => this.startEndpoints(dc)));
     await this.publish(this.freshBody(), 0);
-    const starts = [
+    const daemonStarts = [
       ...this.engines.map((e) => this.addMember(`${e.endpoint}-agent`, 'agent', e.endpoint, e.url)),
       ...spec.dataCentres.flatMap((dc) =>
         Array.from({ length: spec.entriesPerCentre }, (_, i) =>
@@ -231,9 +231,9 @@
         ),
       ),
     ];
-    await Promise.all(starts);
+    await Promise.all(daemonStarts);
     await this.publishList();
-    await this.waitForList();
+    await this.waitUntilConfigured();
   }
 
   private async startEndpoints(dc: string): Promise<void> {
@@ -243,7 +243,7 @@
       `${dc}-engines`,
       'fakes/model-engine/main.js',
       [options],
-      jsonLine<{ urls: string[] }>,
+      parseJsonLine<{ urls: string[] }>,
     );
     group.value.urls.forEach((url, i) =>
       this.engines.push({ endpoint: `${dc}-model-${i + 1}`, url, process: group.process }),
@@ -252,8 +252,8 @@
       const service = await startProcess(
         `${dc}-service`,
         'fakes/service-engine/main.js',
-        [String(spec.serviceMs ?? 5)],
-        jsonLine<{ url: string }>,
+        [String(spec.serviceTimeMs ?? 5)],
+        parseJsonLine<{ url: string }>,
       );
       this.services.push({
         endpoint: `${dc}-service-${i + 1}`,
@@ -270,13 +270,17 @@
     url: string | undefined,
   ): Promise<void> {
     const dataCentre = this.dataCentreOf(name);
-    const any = { host: '127.0.0.1', port: 0 };
+    const anyPort = { host: '127.0.0.1', port: 0 };
     const settings: Settings = {
       role,
       instance: name,
       dataCentre,
       platform: { url: this.platformUrl },
-      listen: { daemons: any, operators: any, ...(role === 'entry' ? { callers: any } : {}) },
+      listen: {
+        daemons: anyPort,
+        operators: anyPort,
+        ...(role === 'entry' ? { callers: anyPort } : {}),
+      },
       ...(endpoint && url
         ? {
             endpoint: {
@@ -296,15 +300,18 @@
       },
     };
     const member = { name, role, dataCentre, endpoint, settings } as Member;
-    await this.launch(member);
+    await this.startDaemon(member);
     this.members.push(member);
   }
 
-  private async launch(member: Member): Promise<void> {
-    const any = { host: '127.0.0.1', port: member.ports?.daemons ?? 0 };
-    // The address stays the same over a restart, as on a real instance.
-    member.settings = { ...member.settings, listen: { ...member.settings.listen, daemons: any } };
-    const file = join(this.folder, `${member.name}.json`);
+  private async startDaemon(member: Member): Promise<void> {
+    const daemonsListen = { host: '127.0.0.1', port: member.ports?.daemons ?? 0 };
+    // The port stays the same across restarts, as on a real instance.
+    member.settings = {
+      ...member.settings,
+      listen: { ...member.settings.listen, daemons: daemonsListen },
+    };
+    const file = join(this.settingsDir, `${member.name}.json`);
     writeFileSync(file, JSON.stringify(member.settings));
     const started = await startProcess(
       member.name,
@@ -316,25 +323,27 @@
     member.ports = started.value;
   }
 
-  private async waitForList(): Promise<void> {
-    for (let tries = 0; tries < 200; tries += 1) {
-      const states = await Promise.all(this.members.map((m) => this.status(m)));
-      if (states.every((s) => Number(s['list']) > 0 && Number(s['config']) > 0)) return;
+  private async waitUntilConfigured(): Promise<void> {
+    for (let polls = 0; polls < 200; polls += 1) {
+      const statuses = await Promise.all(this.members.map((m) => this.status(m)));
+      if (statuses.every((s) => Number(s['list']) > 0 && Number(s['config']) > 0)) return;
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
-    throw new Error('the daemons did not get the list in time');
+    throw new Error(
+      'not every daemon received the configuration and the instance list within 200 polls',
+    );
   }
 
   private dataCentreOf(name: string): string {
     return this.spec.dataCentres.find((dc) => name.startsWith(`${dc}-`)) ?? '';
   }
 
-  private control(path: string, data: object): Promise<unknown> {
+  private postControl(path: string, data: object): Promise<unknown> {
     return postJson(`${this.platformUrl}/control/${path}`, data);
   }
 }
 
-/** GET of a JSON document. */
+/** Fetches a JSON document. */
 export async function getJson(url: string): Promise<unknown> {
   const res = await request(url);
   return res.body.json();
--- a/bench/soak/program.ts
+++ b/bench/soak/program.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
-import { endWithUs } from '../harness/children.js';
+import { endWithUs } from '../harness/kill-on-exit.js';
 import { listensForSignals } from './signals.js';
 
 const MAIN = fileURLToPath(new URL('../../platform/main.js', import.meta.url));
