--- a/bench/rate-limits/cases.ts
+++ b/bench/rate-limits/cases.ts
@@ -1,59 +1,62 @@
-/** The cases that ways of sharing a rate limit are compared by. */
-import type { FleetPlay } from './fleet.js';
+/** Scenarios in which the sharing of rate limits between entries is checked. */
+import type { FleetScenario } from './fleet.js';
 
-type LimitAt = FleetPlay['limitAt'];
+type LimitAt = FleetScenario['limitAt'];
 
-/** Time at which endpoints begin to name a limit, ms. */
-const NAMED_FROM_MS = 3000;
+/** Time at which endpoints begin to report a limit, ms. */
+const LIMIT_FROM_MS = 3000;
 
-/** A limit that stands from the start of a play on. */
-export const always =
+/** A limit that stays in force once reported. */
+export const constantLimit =
   (limitPerS: number): LimitAt =>
   (nowMs) =>
-    nowMs > NAMED_FROM_MS ? limitPerS : undefined;
+    nowMs > LIMIT_FROM_MS ? limitPerS : undefined;
 
-/** A limit that is named for a span, then not for as long, by turns. */
-export const flapping =
+/** A limit that is alternately reported and not reported, for `spanMs` each. */
+export const intermittentLimit =
   (limitPerS: number, spanMs: number): LimitAt =>
   (nowMs) =>
-    nowMs > NAMED_FROM_MS && Math.floor(nowMs / spanMs) % 2 === 0 ? limitPerS : undefined;
+    nowMs > LIMIT_FROM_MS && Math.floor(nowMs / spanMs) % 2 === 0 ? limitPerS : undefined;
 
-/** A limit that falls to a quarter and rises again, by turns. */
-export const varying =
+/** A limit that alternates between its full value and a quarter of it, for `spanMs` each. */
+export const alternatingLimit =
   (limitPerS: number, spanMs: number): LimitAt =>
   (nowMs) => {
-    if (nowMs <= NAMED_FROM_MS) return undefined;
+    if (nowMs <= LIMIT_FROM_MS) return undefined;
     return Math.floor(nowMs / spanMs) % 2 === 0 ? limitPerS : limitPerS / 4;
   };
 
-/** A play without the seed and the size. */
-export type Case = Omit<FleetPlay, 'seed' | 'entries'>;
+/** A scenario without its seed and its number of entries. */
+export type Case = Omit<FleetScenario, 'seed' | 'entries'>;
 
-/** Cases for a number of entries and a limit, requests/s. */
+/** Cases by name, for a number of entries and a limit in requests/s. */
 export function casesFor(entries: number, limitPerS: number): Readonly<Record<string, Case>> {
-  const busy: Case = {
+  const overload: Case = {
     relays: 3,
     endpoints: 1,
-    limitAt: always(limitPerS),
-    callersPerS: 6 * entries,
-    answerMs: 40,
+    limitAt: constantLimit(limitPerS),
+    requestsPerS: 6 * entries,
+    responseDelayMs: 40,
     fault: 'none',
-    seconds: 70,
+    durationS: 70,
   };
-  const twice: Case = { ...busy, endpoints: 3, callersPerS: 6 * limitPerS };
+  const twiceLimit: Case = { ...overload, endpoints: 3, requestsPerS: 6 * limitPerS };
   return {
-    'twice the limit, even': twice,
-    'twice the limit, half at one entry': { ...twice, firstShare: 0.5 },
-    'far more than the limit': busy,
-    'waves of 14 s': { ...busy, quietMs: 14_000 },
-    'waves, answers after 3 s': { ...busy, quietMs: 14_000, answerMs: 3000 },
-    'need comes and goes': { ...busy, limitAt: flapping(limitPerS, 9000) },
-    'limit falls and rises': { ...busy, limitAt: varying(limitPerS, 9000) },
-    'rolling restart': { ...busy, fault: 'rolling-restart' },
-    'relays restart together': { ...busy, fault: 'relays-restart' },
-    'relays frozen, waves': { ...busy, fault: 'relays-frozen', quietMs: 5000 },
-    'two halves': { ...busy, fault: 'parted' },
-    'a third of the calls lost': { ...busy, lossShare: 1 / 3 },
-    'no relay': { ...busy, relays: 0 },
+    'twice the limit, spread evenly': twiceLimit,
+    'twice the limit, half at one entry': { ...twiceLimit, busiestEntryShare: 0.5 },
+    'load far above the limit': overload,
+    'bursts of 14 s': { ...overload, idlePeriodMs: 14_000 },
+    'bursts, responses after 3 s': { ...overload, idlePeriodMs: 14_000, responseDelayMs: 3000 },
+    'limit reported intermittently': { ...overload, limitAt: intermittentLimit(limitPerS, 9000) },
+    'limit alternates with a quarter of it': {
+      ...overload,
+      limitAt: alternatingLimit(limitPerS, 9000),
+    },
+    'rolling restart': { ...overload, fault: 'rolling-restart' },
+    'relays restart together': { ...overload, fault: 'relays-restart' },
+    'relays suspended, bursts': { ...overload, fault: 'relays-suspended', idlePeriodMs: 5000 },
+    'network partition': { ...overload, fault: 'partition' },
+    'a third of the calls are lost': { ...overload, lossRatio: 1 / 3 },
+    'no relay': { ...overload, relays: 0 },
   };
 }
--- a/bench/rate-limits/entry.ts
+++ b/bench/rate-limits/entry.ts
@@ -1,4 +1,7 @@
-/** One entry of the model, from the parts of the real program: what it hears of limits, and the tokens it asks for. */
+/**
+ * One simulated entry, built from the components of the daemon: it exchanges limit updates with the
+ * relays and requests tokens from them.
+ */
 import {
   RateLimitGossip,
   EndpointGate,
@@ -11,36 +14,43 @@
 } from '../../src/core/backpressure/index.js';
 import { asId } from '../../src/core/ids/index.js';
 import { silentLog } from '../../src/core/logging/index.js';
-import type { MakeEntry, ModelEndpoint, ModelEntry, ModelParts } from './fleet.js';
+import type {
+  CreateEntry,
+  SimulatedEndpoint,
+  SimulatedEntry,
+  SimulatedEntryDeps,
+} from './fleet.js';
 import type { Node } from './network.js';
 
-const TELL_EVERY_MS = 400;
-const HEAR_EVERY_MS = 700;
-const CALL_MS = 500;
+const UPDATE_INTERVAL_MS = 400;
+const POLL_INTERVAL_MS = 700;
+const CALL_TIMEOUT_MS = 500;
 
-const nameOf = ({ index }: Node): string => `relay-${index}:1`;
+const relayAddress = ({ index }: Node): string => `relay-${index}:1`;
 
-class Entry implements ModelEntry {
+class Entry implements SimulatedEntry {
   readonly gossip: RateLimitGossip;
   readonly grants: TokenGrants;
   private readonly updates: LimitUpdates;
   private readonly limiters: RelayLimiters;
   private readonly gates = new Map<string, EndpointGate>();
-  private heard = NO_VERSION;
-  private heardLife = -1;
-  private relay: number;
+  /** Version of the last update received, and the incarnation of the relay that sent it. */
+  private receivedVersion = NO_VERSION;
+  private receivedIncarnation = -1;
+  /** Relay that is polled; the next one after a failed call. */
+  private relayIndex: number;
 
-  constructor(private readonly parts: ModelParts) {
-    const { time, random, name, node, relays } = parts;
-    this.relay = node.index;
+  constructor(private readonly deps: SimulatedEntryDeps) {
+    const { time, random, name, node, relays } = deps;
+    this.relayIndex = node.index;
     this.gossip = new RateLimitGossip({ clock: time, isListed: () => true });
-    const limiting = { clock: time, random, limits: this.gossip.limits };
-    this.grants = new TokenGrants({ ...limiting, shards: shardCount(relays.length) });
+    const limiterDeps = { clock: time, random, limits: this.gossip.limits };
+    this.grants = new TokenGrants({ ...limiterDeps, shards: shardCount(relays.length) });
     this.limiters = new RelayLimiters({
-      ...limiting,
+      ...limiterDeps,
       own: asId(name),
       log: silentLog,
-      relays: relays.map(nameOf),
+      relays: relays.map(relayAddress),
       ask: (relay, request) =>
         this.call(relay, (entry) => entry.grants.take(request), TOKEN_TIMEOUT_MS),
       countKnown: () => 0,
@@ -48,69 +58,74 @@
     });
     this.updates = new LimitUpdates({
       clock: time,
-      relays: this.others().map(nameOf),
+      relays: this.otherRelays().map(relayAddress),
       describe: (id) => this.gossip.limits.describe(id),
       send: (relay, limits) =>
-        this.call(relay, (entry) => void entry.gossip.mergeFromPeer({ limits }), CALL_MS),
+        this.call(relay, (entry) => void entry.gossip.mergeFromPeer({ limits }), CALL_TIMEOUT_MS),
       onFailed: () => undefined,
     });
-    time.every(TELL_EVERY_MS, TELL_EVERY_MS * random(), () => {
-      if (parts.isAlive()) this.updates.flush(this.gossip.pendingUpdates());
+    time.every(UPDATE_INTERVAL_MS, UPDATE_INTERVAL_MS * random(), () => {
+      if (deps.isAlive()) this.updates.flush(this.gossip.pendingUpdates());
     });
-    time.every(HEAR_EVERY_MS, HEAR_EVERY_MS * random(), () => this.hear());
+    time.every(POLL_INTERVAL_MS, POLL_INTERVAL_MS * random(), () => this.pollRelay());
   }
 
-  private others(): Node[] {
-    return this.parts.relays.filter((relay) => relay !== this.parts.node);
+  private otherRelays(): Node[] {
+    return this.deps.relays.filter((relay) => relay !== this.deps.node);
   }
 
-  private call<T>(name: string, run: (entry: Entry) => T, withinMs: number): Promise<T> {
-    const { network, node, entryAt, relays } = this.parts;
-    const relay = relays.find((one) => nameOf(one) === name);
-    if (!relay) return Promise.reject(new Error(`${name} is no relay`));
+  private call<T>(address: string, run: (entry: Entry) => T, timeoutMs: number): Promise<T> {
+    const { network, node, entryAt, relays } = this.deps;
+    const relay = relays.find((candidate) => relayAddress(candidate) === address);
+    if (!relay) return Promise.reject(new Error(`no relay has the address ${address}`));
     if (relay === node) return Promise.resolve(run(this));
-    return network.call(node, relay, () => run(entryAt(relay) as Entry), withinMs);
+    return network.call(node, relay, () => run(entryAt(relay) as Entry), timeoutMs);
   }
 
-  private hear(): void {
-    const others = this.others();
-    const isRelay = others.length < this.parts.relays.length;
-    const relay = others[this.relay % Math.max(1, others.length)];
-    if (!relay || isRelay || !this.parts.isAlive()) return;
-    const { life } = relay;
-    const heard = this.heardLife === life ? this.heard : NO_VERSION;
-    this.call(nameOf(relay), (entry) => entry.gossip.deltaSince(heard), CALL_MS).then(
-      (news) => {
-        this.heardLife = life;
-        this.heard = news?.heard ?? NO_VERSION;
-        if (news) this.gossip.mergeFromRelay(news);
+  private pollRelay(): void {
+    const others = this.otherRelays();
+    const isRelay = others.length < this.deps.relays.length;
+    const relay = others[this.relayIndex % Math.max(1, others.length)];
+    if (!relay || isRelay || !this.deps.isAlive()) return;
+    const { incarnation } = relay;
+    const knownVersion =
+      this.receivedIncarnation === incarnation ? this.receivedVersion : NO_VERSION;
+    this.call(
+      relayAddress(relay),
+      (entry) => entry.gossip.deltaSince(knownVersion),
+      CALL_TIMEOUT_MS,
+    ).then(
+      (update) => {
+        this.receivedIncarnation = incarnation;
+        this.receivedVersion = update?.heard ?? NO_VERSION;
+        if (update) this.gossip.mergeFromRelay(update);
       },
-      () => (this.relay += 1),
+      () => (this.relayIndex += 1),
     );
   }
 
-  private gateOf(endpoint: ModelEndpoint): EndpointGate {
-    const known = this.gates.get(endpoint.id);
-    if (known) return known;
-    const made = new EndpointGate(this.limiters.of(endpoint));
-    this.gates.set(endpoint.id, made);
-    return made;
+  private gateOf(endpoint: SimulatedEndpoint): EndpointGate {
+    const existing = this.gates.get(endpoint.id);
+    if (existing) return existing;
+    const gate = new EndpointGate(this.limiters.of(endpoint));
+    this.gates.set(endpoint.id, gate);
+    return gate;
   }
 
-  mayAcquire(endpoint: ModelEndpoint): boolean {
-    const nowMs = this.parts.time.nowMs();
+  mayAcquire(endpoint: SimulatedEndpoint): boolean {
+    const nowMs = this.deps.time.nowMs();
     return this.gateOf(endpoint).opening(nowMs).atMs <= nowMs;
   }
 
-  acquire(endpoint: ModelEndpoint): Promise<boolean> {
+  acquire(endpoint: SimulatedEndpoint): Promise<boolean> {
     return this.gateOf(endpoint).acquire();
   }
 
-  noteAnswer(endpoint: ModelEndpoint, limitPerS: number | undefined, sentAtMs: number): void {
+  noteResponse(endpoint: SimulatedEndpoint, limitPerS: number | undefined, sentAtMs: number): void {
     if (limitPerS === undefined) this.gossip.limits.noteUnnamed(endpoint, sentAtMs);
     else this.gossip.limits.noteNamed(endpoint, limitPerS);
   }
 }
 
-/** Makes an entry of the real parts. */
-export const makeEntry: MakeEntry = (parts) => new Entry(parts);
+/** Creates an entry from the components of the daemon. */
+export const createEntry: CreateEntry = (deps) => new Entry(deps);
--- a/bench/rate-limits/fleet.ts
+++ b/bench/rate-limits/fleet.ts
@@ -1,6 +1,7 @@
 /**
- * Entries before endpoints that name a rate limit, in virtual time: callers, faults and the count of what arrives. The entries
- * themselves are made by a function, from the parts of the real program.
+ * Simulates entries in front of endpoints that report a rate limit, in virtual time: callers, faults
+ * and the requests that reach the endpoints. The entries come from a factory, so that they can be
+ * built from the components of the daemon.
  */
 import { seededRandom } from '../../src/core/clock/index.js';
 import type { EndpointProcess } from '../../src/core/published/types.js';
@@ -8,55 +9,60 @@
 import { Network, type Node } from './network.js';
 import { VirtualTime } from './virtual-time.js';
 
-/** Faults of entries; relays are the first entries. */
+/** Faults of entries and their network; the first entries are the relays. */
 export type Fault =
-  'none' | 'rolling-restart' | 'relays-restart' | 'relays-frozen' | 'relay-cut' | 'parted';
-
-/** What is played. */
-export interface FleetPlay {
+  | 'none'
+  | 'rolling-restart'
+  | 'relays-restart'
+  | 'relays-suspended'
+  | 'relay-unreachable'
+  | 'partition';
+
+/** Load, limits and faults of one simulation. */
+export interface FleetScenario {
   readonly seed: number;
   readonly entries: number;
   readonly relays: number;
   readonly endpoints: number;
-  /** Requests/s that each endpoint takes, by time. */
+  /** Limit that each endpoint reports at a time, requests/s; undefined while it reports none. */
   readonly limitAt: (nowMs: number) => number | undefined;
-  /** Requests/s of all callers. */
-  readonly callersPerS: number;
-  /** Share of the callers at one entry that is no relay; equal shares if undefined. */
-  readonly firstShare?: number | undefined;
-  /** Callers are quiet for this long, and ask for as long, by turns, ms. */
-  readonly quietMs?: number | undefined;
-  /** Mean time until an answer begins, ms. */
-  readonly answerMs: number;
+  /** Requests/s of all callers together. */
+  readonly requestsPerS: number;
+  /** Share of the requests sent to the last entry, which is not a relay; even shares if undefined. */
+  readonly busiestEntryShare?: number | undefined;
+  /** Callers are alternately idle and active for this long, ms; always active if undefined. */
+  readonly idlePeriodMs?: number | undefined;
+  /** Mean time until a response begins, ms. */
+  readonly responseDelayMs: number;
   readonly fault: Fault;
-  /** Share of the calls between entries that are lost. */
-  readonly lossShare?: number | undefined;
-  readonly seconds: number;
+  /** Ratio of messages between entries that are lost. */
+  readonly lossRatio?: number | undefined;
+  readonly durationS: number;
 }
 
-/** An endpoint of the model. */
-export interface ModelEndpoint extends EndpointProcess {
-  /** Position among the endpoints of the service, 0 to 1. */
+/** An endpoint with a rate limit. */
+export interface SimulatedEndpoint extends EndpointProcess {
+  /** Position among the endpoints of the service, from 0 to below 1. */
   readonly position: number;
 }
 
-/** One life of an entry, made from the real parts. */
-export interface ModelEntry {
-  /** Whether a request may be sent to an endpoint; consumes a token where one is needed. */
-  acquire(endpoint: ModelEndpoint): Promise<boolean>;
-  /** Whether an attempt to acquire may succeed. */
-  mayAcquire(endpoint: ModelEndpoint): boolean;
-  /** Notes the head of an answer. */
-  noteAnswer(
-    endpoint: ModelEndpoint,
+/** One incarnation of an entry. */
+export interface SimulatedEntry {
+  /** Whether a request may be sent to an endpoint; consumes a token if the endpoint is limited. */
+  acquire(endpoint: SimulatedEndpoint): Promise<boolean>;
+  /** Whether `acquire` may succeed now. */
+  mayAcquire(endpoint: SimulatedEndpoint): boolean;
+  /** Notes the limit, or its absence, in the headers of a response. */
+  noteResponse(
+    endpoint: SimulatedEndpoint,
     limitPerS: number | undefined,
     sentAtMs: number,
     nowMs: number,
   ): void;
 }
 
-/** What an entry is made from. */
-export interface ModelParts {
+/** Dependencies of a simulated entry. */
+export interface SimulatedEntryDeps {
   readonly time: VirtualTime;
   readonly random: () => number;
   readonly network: Network;
@@ -64,56 +70,58 @@
   readonly name: string;
   /** Nodes of the relays. */
   readonly relays: readonly Node[];
-  /** The present life of a node's entry. */
-  readonly entryAt: (node: Node) => ModelEntry;
-  /** Whether this life goes on. */
+  /** The current incarnation of a node's entry. */
+  readonly entryAt: (node: Node) => SimulatedEntry;
+  /** Whether this incarnation is running. */
   readonly isAlive: () => boolean;
 }
 
-/** Makes one life of an entry. */
-export type MakeEntry = (parts: ModelParts) => ModelEntry;
+/** Creates one incarnation of an entry. */
+export type CreateEntry = (deps: SimulatedEntryDeps) => SimulatedEntry;
 
-/** What came of a play. */
-export interface FleetOutcome {
-  /** The largest excess over the bound in any window of any endpoint; not above 0 where it was kept. */
+/** How well the limits were kept and used in a simulation. */
+export interface FleetResult {
+  /** Largest excess over the bound in any window of any endpoint; at most 0 if the bound held. */
   readonly excess: number;
-  /** Most requests in a window. */
-  readonly most: number;
-  /** Share of the limits that was used while they stood. */
-  readonly used: number;
-  /** Calls/s from others to the busiest entry, a relay. */
-  readonly busiestCallsPerS: number;
+  /** Highest number of requests in a window. */
+  readonly maxInWindow: number;
+  /** Share of the limits that was used while they were in force. */
+  readonly utilisation: number;
+  /** Mean calls/s to the relay that received most. */
+  readonly busiestRelayCallsPerS: number;
 }
 
+/** Length of the windows in which requests are counted, ms. */
 const WINDOW_MS = 4000;
-/** Time after an endpoint named its limit first from which the bound counts, ms. */
-const CONTACT_MS = 3000;
-/** An entry counts from this long after it passed such an answer on, ms. */
-const TOLD_MS = 500;
-/** An entry does not count for this long after a fault of its own, ms. */
-const EXCUSED_MS = 10_000;
+/** Time from an endpoint's first report of its limit until the bound applies, ms. */
+const ENFORCED_AFTER_MS = 3000;
+/** Time from the first response with a limit at an entry until its requests count, ms. */
+const OBSERVED_GRACE_MS = 500;
+/** Time after the end of an entry's own fault during which its requests do not count, ms. */
+const RECOVERY_MS = 10_000;
 const RESTART_MS = 4800;
-const FREEZE_MS = 11_000;
-const CUT_MS = 8000;
-const FAULT_EVERY_MS = 15_000;
+const SUSPENSION_MS = 11_000;
+const UNREACHABLE_MS = 8000;
+const FAULT_INTERVAL_MS = 15_000;
 
 interface Arrival {
   readonly atMs: number;
-  readonly counts: boolean;
+  /** Whether the bound applies to the entry that sent it. */
+  readonly isCounted: boolean;
   readonly limitPerS: number | undefined;
 }
 
-interface Target extends ModelEndpoint {
+interface Target extends SimulatedEndpoint {
   readonly arrivals: Arrival[];
-  firstNamedMs: number | undefined;
+  firstReportedAtMs: number | undefined;
 }
 
 interface Instance {
   readonly node: Node;
-  entry: ModelEntry;
-  excusedUntilMs: number;
-  /** When it first passed on an answer with a limit, by endpoint. */
-  readonly told: Map<Target, number>;
+  entry: SimulatedEntry;
+  uncountedUntilMs: number;
+  /** When it first received a response with the limit in force, by endpoint. */
+  readonly limitObservedAtMs: Map<Target, number>;
 }
 
 class Fleet {
@@ -122,198 +130,204 @@
   readonly network: Network;
   readonly targets: readonly Target[];
   readonly instances: Instance[];
-  private partedUntilMs = 0;
+  private partitionedUntilMs = 0;
 
   constructor(
-    readonly play: FleetPlay,
-    private readonly make: MakeEntry,
+    readonly scenario: FleetScenario,
+    private readonly createEntry: CreateEntry,
   ) {
-    this.random = seededRandom(play.seed);
+    this.random = seededRandom(scenario.seed);
     const { time, random } = this;
-    const isParted = (a: Node, b: Node): boolean =>
-      time.nowMs() < this.partedUntilMs && a.index % 2 !== b.index % 2;
-    this.network = new Network({ time, random, lossShare: play.lossShare ?? 0, isParted });
-    this.targets = Array.from({ length: play.endpoints }, (_, i) => ({
+    const isPartitioned = (a: Node, b: Node): boolean =>
+      time.nowMs() < this.partitionedUntilMs && a.index % 2 !== b.index % 2;
+    this.network = new Network({ time, random, lossRatio: scenario.lossRatio ?? 0, isPartitioned });
+    this.targets = Array.from({ length: scenario.endpoints }, (_, i) => ({
       id: asId(`e-${i}`),
       startedAtMs: 5,
-      position: i / play.endpoints,
+      position: i / scenario.endpoints,
       arrivals: [],
-      firstNamedMs: undefined,
+      firstReportedAtMs: undefined,
     }));
-    const nodes = Array.from({ length: play.entries }, (_, index) => ({
+    const nodes = Array.from({ length: scenario.entries }, (_, index) => ({
       index,
-      life: 0,
+      incarnation: 0,
       downUntilMs: 0,
-      frozenUntilMs: 0,
-      cutUntilMs: 0,
+      suspendedUntilMs: 0,
+      unreachableUntilMs: 0,
     }));
     this.instances = nodes.map((node) => ({
       node,
-      entry: this.start(node),
-      excusedUntilMs: 0,
-      told: new Map<Target, number>(),
+      entry: this.startEntry(node),
+      uncountedUntilMs: 0,
+      limitObservedAtMs: new Map<Target, number>(),
     }));
   }
 
-  private start(node: Node): ModelEntry {
-    const { life } = node;
-    return this.make({
+  private startEntry(node: Node): SimulatedEntry {
+    const { incarnation } = node;
+    return this.createEntry({
       time: this.time,
       random: this.random,
       network: this.network,
       node,
       name: `entry-${String(node.index).padStart(3, '0')}`,
       relays: this.instances
-        ? this.instances.slice(0, this.play.relays).map((one) => one.node)
+        ? this.instances.slice(0, this.scenario.relays).map((instance) => instance.node)
         : [],
-      entryAt: (of) => this.at(of).entry,
-      isAlive: () => node.life === life && this.network.isUp(node),
+      entryAt: (target) => this.instanceAt(target).entry,
+      isAlive: () => node.incarnation === incarnation && this.network.isRunning(node),
     });
   }
 
-  private at({ index }: Node): Instance {
+  private instanceAt({ index }: Node): Instance {
     const found = this.instances[index];
     if (!found) throw new Error(`entry ${index} does not exist`);
     return found;
   }
 
-  /** Makes every entry anew, now that all nodes are known. */
-  startAll(): void {
-    for (const instance of this.instances) instance.entry = this.start(instance.node);
+  /** Creates every entry again: in the constructor the relays are not known yet. */
+  startEntries(): void {
+    for (const instance of this.instances) instance.entry = this.startEntry(instance.node);
   }
 
   restart(instance: Instance): void {
     const { node } = instance;
-    node.life += 1;
+    node.incarnation += 1;
     node.downUntilMs = this.time.nowMs() + RESTART_MS;
-    this.excuse(instance, RESTART_MS);
-    instance.told.clear();
-    this.time.after(RESTART_MS + 1, () => (instance.entry = this.start(node)));
+    this.excludeFromCount(instance, RESTART_MS);
+    instance.limitObservedAtMs.clear();
+    this.time.after(RESTART_MS + 1, () => (instance.entry = this.startEntry(node)));
   }
 
-  freeze(instance: Instance): void {
-    instance.node.frozenUntilMs = this.time.nowMs() + FREEZE_MS;
-    this.excuse(instance, FREEZE_MS);
+  suspend(instance: Instance): void {
+    instance.node.suspendedUntilMs = this.time.nowMs() + SUSPENSION_MS;
+    this.excludeFromCount(instance, SUSPENSION_MS);
   }
 
-  cut(instance: Instance): void {
-    instance.node.cutUntilMs = this.time.nowMs() + CUT_MS;
-    this.excuse(instance, CUT_MS);
+  disconnect(instance: Instance): void {
+    instance.node.unreachableUntilMs = this.time.nowMs() + UNREACHABLE_MS;
+    this.excludeFromCount(instance, UNREACHABLE_MS);
   }
 
-  part(): void {
-    this.partedUntilMs = this.time.nowMs() + CUT_MS;
+  partition(): void {
+    this.partitionedUntilMs = this.time.nowMs() + UNREACHABLE_MS;
   }
 
-  private excuse(instance: Instance, forMs: number): void {
-    instance.excusedUntilMs = this.time.nowMs() + forMs + EXCUSED_MS;
+  private excludeFromCount(instance: Instance, forMs: number): void {
+    instance.uncountedUntilMs = this.time.nowMs() + forMs + RECOVERY_MS;
   }
 
-  /** One request of a caller: sent to the first endpoint, in random order, that a token can be had for. */
+  /** Sends one request to the first endpoint, in random order, for which it acquires a token. */
   async request(instance: Instance): Promise<void> {
     const { node, entry } = instance;
-    const { life } = node;
-    if (!this.network.isUp(node)) return;
+    const { incarnation } = node;
+    if (!this.network.isRunning(node)) return;
     const order = this.targets
       .map((target) => ({ target, rank: this.random() }))
       .sort((a, b) => a.rank - b.rank);
     for (const { target } of order) {
       if (!entry.mayAcquire(target) || !(await entry.acquire(target))) continue;
-      if (node.life === life && this.network.isUp(node)) this.send(instance, target);
+      if (node.incarnation === incarnation && this.network.isRunning(node))
+        this.send(instance, target);
       return;
     }
   }
 
   private send(instance: Instance, target: Target): void {
-    const { node, entry, told } = instance;
-    const { life } = node;
+    const { node, entry, limitObservedAtMs } = instance;
+    const { incarnation } = node;
     const sentAtMs = this.time.nowMs();
-    const toldAtMs = told.get(target) ?? Number.POSITIVE_INFINITY;
+    const observedAtMs = limitObservedAtMs.get(target) ?? Number.POSITIVE_INFINITY;
     target.arrivals.push({
       atMs: sentAtMs,
-      counts: sentAtMs >= toldAtMs + TOLD_MS && sentAtMs >= instance.excusedUntilMs,
-      limitPerS: this.play.limitAt(sentAtMs),
+      isCounted:
+        sentAtMs >= observedAtMs + OBSERVED_GRACE_MS && sentAtMs >= instance.uncountedUntilMs,
+      limitPerS: this.scenario.limitAt(sentAtMs),
     });
-    this.time.after(this.play.answerMs * (0.5 + this.random()), () => {
+    this.time.after(this.scenario.responseDelayMs * (0.5 + this.random()), () => {
       const nowMs = this.time.nowMs();
-      const limitPerS = this.play.limitAt(nowMs);
-      if (limitPerS !== undefined) target.firstNamedMs ??= nowMs;
-      if (node.life !== life || !this.network.isUp(node)) return;
-      if (limitPerS === undefined) told.delete(target);
-      else if (!told.has(target)) told.set(target, nowMs);
-      entry.noteAnswer(target, limitPerS, sentAtMs, nowMs);
+      const limitPerS = this.scenario.limitAt(nowMs);
+      if (limitPerS !== undefined) target.firstReportedAtMs ??= nowMs;
+      if (node.incarnation !== incarnation || !this.network.isRunning(node)) return;
+      if (limitPerS === undefined) limitObservedAtMs.delete(target);
+      else if (!limitObservedAtMs.has(target)) limitObservedAtMs.set(target, nowMs);
+      entry.noteResponse(target, limitPerS, sentAtMs, nowMs);
     });
   }
 
-  private isQuiet(): boolean {
-    const { quietMs } = this.play;
-    return quietMs !== undefined && Math.floor(this.time.nowMs() / quietMs) % 2 === 0;
+  private isIdle(): boolean {
+    const { idlePeriodMs } = this.scenario;
+    return idlePeriodMs !== undefined && Math.floor(this.time.nowMs() / idlePeriodMs) % 2 === 0;
   }
 
-  /** Callers ask at random, each entry's on their own. */
-  callAt(instance: Instance): void {
-    const perS = this.callersPerSAt(instance);
-    const next = (): void => {
-      this.time.after((-Math.log(1 - this.random()) / perS) * 1000, () => {
-        if (!this.isQuiet()) void this.request(instance);
-        next();
+  /** Schedules the requests to one entry as a Poisson process; none are sent while idle. */
+  scheduleRequests(instance: Instance): void {
+    const requestsPerS = this.requestsPerSAt(instance);
+    const scheduleNext = (): void => {
+      this.time.after((-Math.log(1 - this.random()) / requestsPerS) * 1000, () => {
+        if (!this.isIdle()) void this.request(instance);
+        scheduleNext();
       });
     };
-    if (perS > 0) next();
+    if (requestsPerS > 0) scheduleNext();
   }
 
-  private callersPerSAt({ node }: Instance): number {
-    const { entries, callersPerS, firstShare } = this.play;
-    if (firstShare === undefined || entries === 1) return callersPerS / entries;
-    if (node.index === entries - 1) return callersPerS * firstShare;
-    return (callersPerS * (1 - firstShare)) / (entries - 1);
+  private requestsPerSAt({ node }: Instance): number {
+    const { entries, requestsPerS, busiestEntryShare } = this.scenario;
+    if (busiestEntryShare === undefined || entries === 1) return requestsPerS / entries;
+    if (node.index === entries - 1) return requestsPerS * busiestEntryShare;
+    return (requestsPerS * (1 - busiestEntryShare)) / (entries - 1);
   }
 }
 
-/** Schedules the faults of a play. */
+/** Schedules the faults of a scenario. */
 function scheduleFaults(fleet: Fleet): void {
-  const { time, random, instances, play } = fleet;
-  const relays = instances.slice(0, play.relays);
-  const strike = (run: () => void): void => time.every(FAULT_EVERY_MS, FAULT_EVERY_MS, run);
-  const soon = (run: () => void): void => time.after(1 + random() * 200, run);
+  const { time, random, instances, scenario } = fleet;
+  const relays = instances.slice(0, scenario.relays);
+  const atInterval = (run: () => void): void =>
+    time.every(FAULT_INTERVAL_MS, FAULT_INTERVAL_MS, run);
+  const withinJitter = (run: () => void): void => time.after(1 + random() * 200, run);
   const faults: Record<Fault, () => void> = {
     none: () => undefined,
     'rolling-restart': () =>
       time.every(6000, 6000, () => {
-        const one = instances[Math.floor(random() * instances.length)];
-        if (one) fleet.restart(one);
+        const instance = instances[Math.floor(random() * instances.length)];
+        if (instance) fleet.restart(instance);
       }),
     'relays-restart': () =>
-      strike(() => relays.forEach((relay) => soon(() => fleet.restart(relay)))),
-    'relays-frozen': () => strike(() => relays.forEach((relay) => fleet.freeze(relay))),
-    'relay-cut': () => strike(() => relays.slice(0, 1).forEach((relay) => fleet.cut(relay))),
-    parted: () => strike(() => fleet.part()),
+      atInterval(() => relays.forEach((relay) => withinJitter(() => fleet.restart(relay)))),
+    'relays-suspended': () => atInterval(() => relays.forEach((relay) => fleet.suspend(relay))),
+    'relay-unreachable': () =>
+      atInterval(() => relays.slice(0, 1).forEach((relay) => fleet.disconnect(relay))),
+    partition: () => atInterval(() => fleet.partition()),
   };
-  faults[play.fault]();
+  faults[scenario.fault]();
 }
 
-/** Requests that may arrive in a window. */
+/** Number of requests that may arrive in a window. */
 const allowedInWindow = (limitPerS: number): number => 1.5 * limitPerS * (WINDOW_MS / 1000) + 5;
 
-/** The worst window of one span in which the endpoint named one limit without a pause. */
-function worstWindow(
+/** Highest count and excess of any window, in a span in which the endpoint reports one limit. */
+function busiestWindow(
   arrivals: readonly Arrival[],
   fromMs: number,
-): { most: number; excess: number } {
-  const counted = arrivals.filter((a) => a.counts && a.atMs >= fromMs + CONTACT_MS);
-  let most = 0;
+): { maxInWindow: number; excess: number } {
+  const countedArrivals = arrivals.filter(
+    (a) => a.isCounted && a.atMs >= fromMs + ENFORCED_AFTER_MS,
+  );
+  let maxInWindow = 0;
   let excess = Number.NEGATIVE_INFINITY;
   let last = 0;
-  for (const [first, { atMs, limitPerS = 0 }] of counted.entries()) {
-    while ((counted[last]?.atMs ?? Number.POSITIVE_INFINITY) < atMs + WINDOW_MS) last += 1;
-    most = Math.max(most, last - first);
+  for (const [first, { atMs, limitPerS = 0 }] of countedArrivals.entries()) {
+    while ((countedArrivals[last]?.atMs ?? Number.POSITIVE_INFINITY) < atMs + WINDOW_MS) last += 1;
+    maxInWindow = Math.max(maxInWindow, last - first);
     excess = Math.max(excess, last - first - allowedInWindow(limitPerS));
   }
-  return { most, excess };
+  return { maxInWindow, excess };
 }
 
-/** Arrivals by spans in which the limit is one and the same. */
-function spansOf({ arrivals }: Target): Arrival[][] {
+/** Splits arrivals into spans in which the limit stays the same. */
+function spansOfOneLimit({ arrivals }: Target): Arrival[][] {
   const spans: Arrival[][] = [];
   let last: number | undefined;
   for (const arrival of arrivals) {
@@ -324,36 +338,44 @@
   return spans;
 }
 
-function outcomeOf({ targets, network, play }: Fleet): FleetOutcome {
-  const { limitAt, seconds } = play;
-  let most = 0;
+function resultOf({ targets, network, scenario }: Fleet): FleetResult {
+  const { limitAt, durationS } = scenario;
+  let maxInWindow = 0;
   let excess = Number.NEGATIVE_INFINITY;
-  let got = 0;
+  let sent = 0;
   let allowed = 0;
   for (const target of targets) {
-    for (const span of spansOf(target)) {
-      const worst = worstWindow(span, span[0]?.atMs ?? 0);
-      most = Math.max(most, worst.most);
-      excess = Math.max(excess, worst.excess);
+    for (const span of spansOfOneLimit(target)) {
+      const busiest = busiestWindow(span, span[0]?.atMs ?? 0);
+      maxInWindow = Math.max(maxInWindow, busiest.maxInWindow);
+      excess = Math.max(excess, busiest.excess);
     }
-    const fromMs = (target.firstNamedMs ?? seconds * 1000) + CONTACT_MS;
-    got += target.arrivals.filter((a) => a.limitPerS !== undefined && a.atMs >= fromMs).length;
-    for (let atMs = fromMs; atMs < seconds * 1000; atMs += 10)
+    const fromMs = (target.firstReportedAtMs ?? durationS * 1000) + ENFORCED_AFTER_MS;
+    sent += target.arrivals.filter((a) => a.limitPerS !== undefined && a.atMs >= fromMs).length;
+    for (let atMs = fromMs; atMs < durationS * 1000; atMs += 10)
       allowed += (limitAt(atMs) ?? 0) / 100;
   }
-  const busiestCallsPerS = Math.max(0, ...network.calls.values()) / seconds;
-  return { most, excess, used: allowed > 0 ? got / allowed : 0, busiestCallsPerS };
+  const busiestRelayCallsPerS = Math.max(0, ...network.calls.values()) / durationS;
+  return {
+    maxInWindow,
+    excess,
+    utilisation: allowed > 0 ? sent / allowed : 0,
+    busiestRelayCallsPerS,
+  };
 }
 
 /**
- * Plays one deployment.
- * @example (await playFleet(play, makeEntry)).excess <= 0
+ * Simulates one scenario with entries of the given kind.
+ * @example (await simulateFleet(scenario, createEntry)).excess <= 0
  */
-export async function playFleet(play: FleetPlay, make: MakeEntry): Promise<FleetOutcome> {
-  const fleet = new Fleet(play, make);
-  fleet.startAll();
-  for (const instance of fleet.instances) fleet.callAt(instance);
+export async function simulateFleet(
+  scenario: FleetScenario,
+  create: CreateEntry,
+): Promise<FleetResult> {
+  const fleet = new Fleet(scenario, create);
+  fleet.startEntries();
+  for (const instance of fleet.instances) fleet.scheduleRequests(instance);
   scheduleFaults(fleet);
-  await fleet.time.runUntil(play.seconds * 1000);
-  return outcomeOf(fleet);
+  await fleet.time.runUntil(scenario.durationS * 1000);
+  return resultOf(fleet);
 }
--- a/bench/rate-limits/main.ts
+++ b/bench/rate-limits/main.ts
@@ -1,32 +1,35 @@
-/** `npm run rate-limits -- [SEEDS] [FIRST SEED] [SIZES]`: how rate limits are kept and used by 7, 42 and 100 entries. */
+/**
+ * `npm run rate-limits -- [SEEDS] [FIRST SEED] [SIZES]`: simulates how 7, 42 and 100 entries keep and
+ * use rate limits; exits 1 if a simulation exceeds the bound.
+ */
 import { casesFor } from './cases.js';
-import { makeEntry } from './entry.js';
-import { playFleet } from './fleet.js';
+import { createEntry } from './entry.js';
+import { simulateFleet } from './fleet.js';
 
 const SIZES = process.argv[4]?.split(',').map(Number) ?? [7, 42, 100];
 const LIMITS_PER_S = [0.2, 1, 4];
 const [seeds = 3, firstSeed = 1] = process.argv.slice(2, 4).map(Number);
 
-let broken = 0;
+let violations = 0;
 for (const entries of SIZES)
   for (const limitPerS of LIMITS_PER_S)
-    for (const [name, of] of Object.entries(casesFor(entries, limitPerS))) {
-      let most = 0;
-      let over = 0;
-      let used = 0;
-      let calls = 0;
+    for (const [name, scenario] of Object.entries(casesFor(entries, limitPerS))) {
+      let maxInWindow = 0;
+      let runsOverBound = 0;
+      let utilisation = 0;
+      let relayCallsPerS = 0;
       for (let seed = firstSeed; seed < firstSeed + seeds; seed += 1) {
-        const outcome = await playFleet({ ...of, seed, entries }, makeEntry);
-        most = Math.max(most, outcome.most);
-        used += outcome.used / seeds;
-        calls = Math.max(calls, outcome.busiestCallsPerS);
-        if (outcome.excess > 0) over += 1;
+        const result = await simulateFleet({ ...scenario, seed, entries }, createEntry);
+        maxInWindow = Math.max(maxInWindow, result.maxInWindow);
+        utilisation += result.utilisation / seeds;
+        relayCallsPerS = Math.max(relayCallsPerS, result.busiestRelayCallsPerS);
+        if (result.excess > 0) runsOverBound += 1;
       }
-      broken += over;
-      const kept = over > 0 ? `BROKEN in ${over} of ${seeds}` : 'kept';
+      violations += runsOverBound;
+      const verdict = runsOverBound > 0 ? `EXCEEDED in ${runsOverBound} of ${seeds}` : 'kept';
       process.stdout.write(
-        `${entries} entries, ${limitPerS}/s, ${name}: ${kept}, most ${most} in 4 s, ${used.toFixed(2)} used, ${calls.toFixed(1)} calls/s at a relay\n`,
+        `${entries} entries, ${limitPerS}/s, ${name}: ${verdict}, at most ${maxInWindow} in 4 s, ${utilisation.toFixed(2)} used, ${relayCallsPerS.toFixed(1)} calls/s at the busiest relay\n`,
       );
     }
-process.stdout.write(`${broken} plays over the bound\n`);
-process.exit(broken > 0 ? 1 : 0);
+process.stdout.write(`${violations} simulations over the bound\n`);
+process.exit(violations > 0 ? 1 : 0);
--- a/bench/rate-limits/virtual-time.ts
+++ b/bench/rate-limits/virtual-time.ts
@@ -1,37 +1,37 @@
-/** A timer queue in virtual time. Promises settle between two ticks. */
+/** Timer queue in virtual time. Promises settle between two ticks. */
 
-/** Virtual milliseconds; satisfies the clock of the entries. */
+/** Virtual clock and timers, in ms; usable as the `Clock` of an entry. */
 export class VirtualTime {
   private atMs = 0;
-  private readonly due = new Map<number, (() => void)[]>();
+  private readonly callbacksByTime = new Map<number, (() => void)[]>();
 
   nowMs(): number {
     return this.atMs;
   }
 
   /** Runs a function after a delay of at least 1 ms. */
-  after(ms: number, run: () => void): void {
+  after(ms: number, callback: () => void): void {
     const at = this.atMs + Math.max(1, Math.round(ms));
-    const others = this.due.get(at);
-    if (others) others.push(run);
-    else this.due.set(at, [run]);
+    const scheduled = this.callbacksByTime.get(at);
+    if (scheduled) scheduled.push(callback);
+    else this.callbacksByTime.set(at, [callback]);
   }
 
-  /** Runs a function periodically, from a first delay on. */
-  every(ms: number, firstMs: number, run: () => void): void {
+  /** Runs a function at an interval, first after `firstMs`. */
+  every(ms: number, firstMs: number, callback: () => void): void {
     this.after(firstMs, () => {
-      run();
-      this.every(ms, ms, run);
+      callback();
+      this.every(ms, ms, callback);
     });
   }
 
-  /** Runs everything that is due until a time. */
+  /** Advances to a time and runs every callback due before it. */
   async runUntil(untilMs: number): Promise<void> {
     for (; this.atMs < untilMs; this.atMs += 1) {
-      const runs = this.due.get(this.atMs);
-      if (!runs) continue;
-      this.due.delete(this.atMs);
-      for (const run of runs) run();
+      const callbacks = this.callbacksByTime.get(this.atMs);
+      if (!callbacks) continue;
+      this.callbacksByTime.delete(this.atMs);
+      for (const callback of callbacks) callback();
       await new Promise(setImmediate);
     }
   }
