--- a/spec/engine-orders.pml
+++ b/spec/engine-orders.pml
@@ -1,16 +1,17 @@
 /*
- * What a rank's agent does with its engine during a switch: src/group/switch-engine.ts.
+ * Orders from a rank's agent to its engine during a map switch: src/group/switch-engine.ts.
  *
- * Two ranks in lock-step, two rounds one after the other, either of which may be aborted at any point
- * after arming began. An engine may leave an order unanswered and carry it out at any later time; the
- * agent then gives it again, and goes on only when the engine's report shows it. The agreement between
- * agents and coordinators is in switch.pml.
+ * Two ranks in lock-step execute two consecutive rounds, either of which may be aborted at any point
+ * after arming has begun. An engine may leave an order unanswered and execute it at any later time;
+ * the agent then repeats the order, and proceeds only when the engine's report shows its effect.
+ * The protocol between agents and coordinators is specified in switch.pml.
  *
- * Held: no step begins with two maps, and at the end no rank holds its group.
+ * Properties: no step begins with different maps on the ranks, and at the end no rank holds its group.
  *
- * Broken variants: NO_FENCE (engines check no fences), OWN_VERSION (the fence is raised by disarming the
- * round's own version), NO_HOLD (ranks arm without holding the step), EARLY_GO (a rank lets go as soon as
- * it has armed itself), LATE_ABORT (an abort lets go before the arm is dead).
+ * Broken variants, each of which must have a counterexample: NO_FENCE (engines check no fences),
+ * OWN_VERSION (the fence is raised by disarming the round's own version), NO_HOLD (ranks arm without
+ * holding the step), EARLY_GO (a rank releases its step as soon as it is armed itself), LATE_ABORT
+ * (an abort releases the step before the rank is disarmed).
  */
 #include "engine.pml"
 
@@ -21,7 +22,7 @@
   od
 }
 
-/* One rank's part of arming; failed when its step has begun or another version is armed. */
+/* Holds and arms one rank; fails if the step of the switch begins first. */
 inline armRank(r) {
 #ifndef NO_HOLD
   do
@@ -87,7 +88,7 @@
      :: !failed -> skip
      :: failed -> skip
      fi;
-     /* A coordinator may lose sight of a rank at any point. */
+     /* The coordinator may lose contact with a rank at any point. */
      if
      :: !failed -> armRank(1)
      :: failed = true
@@ -96,7 +97,7 @@
      :: !failed -> release(0); release(1)
      :: failed -> taken = false; abortRank(0); taken = false; abortRank(1)
      fi;
-     /* The next round begins when this one's step is over or nothing is open. */
+     /* The next round begins when no rank is armed, or when the group has executed its last step. */
      do
      :: armed[0] == 0 && armed[1] == 0 -> break
      :: armed[0] != 0 || armed[1] != 0 ->
--- a/spec/engine-restart.pml
+++ b/spec/engine-restart.pml
@@ -1,21 +1,23 @@
 /*
- * All agents of a group are killed at once while a round is open: src/group/switch-engine.ts, the claim of a
- * life's first fence.
+ * All agents of a group are killed at once during a switch round: src/group/switch-engine.ts, how an
+ * incarnation claims its first fence.
  *
- * Engines outlive their agents. The next life finds what they show (map in use, armed, prepared), not the
- * fences, nor orders that were left unanswered and are carried out later. It takes the epoch that a coordinator
- * would take from there, and makes another map. At most two ranks and two lives; a life makes one round and may
- * end at any point.
+ * Engines outlive their agents. The next incarnation reads the engines' reports (map in use, armed,
+ * prepared), but neither their fences nor the unanswered orders that they execute later. It chooses
+ * the epoch that a coordinator would choose from these reports, and creates a different map. Two ranks
+ * and two incarnations; an incarnation executes one round, and the first may end at any point.
  *
- * Held: no step begins with two maps, by version or by who made them.
+ * Property: no step begins with different maps on the ranks, by version or by the incarnation that
+ * created them.
  *
- * Broken variants: NO_CLAIM (a life takes a fence that an earlier one may have taken).
+ * Broken variant, which must have a counterexample: NO_CLAIM (an incarnation takes a fence that an
+ * earlier one may have taken).
  */
 #include "engine.pml"
 
 #define LIVES 2
 
-/* Raises a rank's fence; failed when a higher one has been seen there. */
+/* Raises a rank's fence to at least `f`, unless the round has failed. */
 inline raise(r, f) {
   do
   :: failed || fence[r] >= f -> break
@@ -23,7 +25,7 @@
   od
 }
 
-/* Proves that no life before took this round's fence, then takes it. */
+/* Verifies that no earlier incarnation took this round's fence, then takes it; fails otherwise. */
 inline claim(r) {
 #ifndef NO_CLAIM
   if
@@ -67,7 +69,7 @@
   od
 }
 
-/* The epoch after what the engines show; a life that is refused goes on to the next one. */
+/* Chooses the epoch after those in use and armed; if its claim fails, the next one is tried. */
 inline choose() {
   round = 1;
   if
@@ -86,7 +88,7 @@
 
 bool killed = false;
 
-/* Kills all agents at some point. */
+/* Kills all agents at an arbitrary point. */
 proctype Killer() {
   killed = true
 }
--- a/spec/engine.pml
+++ b/spec/engine.pml
@@ -1,6 +1,6 @@
 /*
- * Two engines of a group in lock-step, and orders that may get no answer and be carried out at any later
- * time. Included by the specifications of what agents do with them.
+ * Two engines of a group in lock-step, and orders that may remain unanswered and be executed at any
+ * later time. Included by the specifications of the agents.
  */
 #define RANKS 2
 #define STEPS 4
@@ -13,7 +13,7 @@
 
 byte map[RANKS];
 byte prepared[RANKS];
-/* Who made the map in use and the one prepared: versions say nothing of contents. */
+/* Creators of the map in use and of the prepared map: equal versions may differ in contents. */
 byte mapBy[RANKS];
 byte preparedBy[RANKS];
 byte armed[RANKS];      /* version, 0 for none */
@@ -22,7 +22,7 @@
 byte fence[RANKS];
 byte step = 0;
 
-/* kind, version, step, fence, maker of the map: orders that will be carried out some time */
+/* Unanswered orders to be executed later: kind, version, step, fence, creator of the map */
 chan late[RANKS] = [2] of { byte, byte, byte, byte, byte };
 
 inline carry(r, kind, version, at, f, by) {
@@ -61,7 +61,7 @@
   fi
 }
 
-/* Gives an order once: it is carried out now, or it gets no answer and is carried out later. */
+/* Sends an order once: it is executed now, or it remains unanswered and is executed later. */
 inline give(r, kind, version, at, f, by) {
   atomic {
     taken = false;
@@ -72,7 +72,7 @@
   }
 }
 
-/* Carries out what was left unanswered. */
+/* Executes the unanswered orders of one rank. */
 proctype Late(byte r) {
   byte kind, version, at, f, by;
   bool taken;
@@ -83,7 +83,7 @@
   od
 }
 
-/* The group begins its next step unless a rank holds it. */
+/* The group begins its next step unless a rank holds it; maps armed for it come into use. */
 proctype Group() {
   byte r;
   end:
--- a/spec/switch.pml
+++ b/spec/switch.pml
@@ -1,14 +1,18 @@
 /*
- * One expert map in every step: src/core/groups.
+ * Two-phase switch of the expert map between coordinators and agents: src/core/groups.
  *
- * Two ranks in lock-step, their agents in front of engines that check no fences, two
- * coordinators that overlap as they like, each of which may fall silent at any point. Orders are late
- * or never read, one is doubled; replies are lost; an agent restarts and forgets its promise.
- * The ranks are alike, so only the first one's agent restarts and only its orders are doubled.
+ * Two ranks in lock-step, with agents in front of engines that check no fences, and two coordinators
+ * that overlap arbitrarily, each of which may stop responding at any point. Orders are delayed,
+ * reordered or never read, and one is duplicated; replies are lost; an agent restarts and loses its
+ * promise. The ranks are symmetric, so only the first one's agent restarts and only its orders are
+ * duplicated.
  *
- * Broken variants: NO_HOLD (an armed rank does not wait at its step), NO_PROMISE (any epoch is
- * obeyed), NO_RECHECK (recovery decides on promises that a restarted agent may have forgotten),
- * FORGET (orders made for an earlier incarnation of the agent are obeyed).
+ * Property: every step runs with the same map on both ranks.
+ *
+ * Broken variants, each of which must have a counterexample: NO_HOLD (an armed rank does not wait at
+ * its step), NO_PROMISE (orders of any epoch are executed), NO_RECHECK (recovery relies on promises
+ * that a restarted agent may have lost), FORGET (orders to an earlier incarnation of the agent are
+ * executed).
  */
 #define RANKS 2
 #define STEPS 2
@@ -21,25 +25,26 @@
 byte promised[RANKS];
 byte life[RANKS];
 byte map[RANKS];
-byte armed[RANKS];      /* epoch of the armed map, 0 for none; the map is named by its epoch */
+byte armed[RANKS];      /* epoch of the armed map, which identifies it; 0 for none */
 byte armedStep[RANKS];
 bool confirmed[RANKS];
 byte last[RANKS];       /* highest epoch confirmed */
 byte step = 0;
 byte restarts = 0;
-byte copies = 0;        /* orders doubled on their way */
+byte copies = 0;        /* orders duplicated in transit */
 
 /* kind, epoch, target, step, incarnation */
 chan orders[RANKS] = [3] of { byte, byte, byte, byte, byte };
 
-/* Replies by coordinator and rank; a reply belongs to its call, as over HTTP. */
+/* Replies by coordinator and rank; each belongs to one call, as over HTTP. */
 #define at_(c, r) ((c - 1) * RANKS + r)
 #define NOTHING 0
 #define YES 1
 #define NO 2
-byte awaited[3];        /* kind + 1 of the call that a coordinator waits for, 0 for none */
+byte awaited[3];        /* kind + 1 of the call that a coordinator awaits, 0 for none */
 byte reply[4];
-byte open[4];           /* what a promise tells: armed epoch, confirmed, highest confirmed, incarnation */
+/* Contents of a reply to PROMISE or RECHECK: armed epoch, confirmed, highest confirmed, incarnation */
+byte open[4];
 bool sure[4];
 byte high[4];
 byte alive[4];
@@ -79,7 +84,7 @@
   :: atomic {
        orders[r] ? kind, epoch, target, at, made;
        if
-       /* A copy comes again later. */
+       /* The order is duplicated and the copy is delivered later. */
        :: r == 0 && copies < 1 -> copies++; orders[r] ! kind, epoch, target, at, made
        :: skip
        fi;
@@ -100,7 +105,7 @@
        fi;
        kind = 0; epoch = 0; target = 0; at = 0; made = 0; done = false
      }
-  /* An order is overtaken by the next. */
+  /* An order is overtaken by a later one. */
   :: atomic { len(orders[r]) > 1 -> orders[r] ? kind, epoch, target, at, made; orders[r] ! kind, epoch, target, at, made;
        kind = 0; epoch = 0; target = 0; at = 0; made = 0 }
   :: atomic { r == 0 && restarts < 1 -> restarts++; promised[r] = 0; life[r]++ }
@@ -133,7 +138,7 @@
   od
 }
 
-/* Sends one order to both ranks and waits for the replies; `all` when both have obeyed. */
+/* Sends one order to both ranks and awaits the replies; `all` is set if both executed it. */
 inline round(kind, target, at) {
   atomic {
     if
@@ -148,7 +153,7 @@
   :: atomic { awaited[me] != 0 && reply[at_(me, 0)] != NOTHING && reply[at_(me, 1)] != NOTHING ->
        all = reply[at_(me, 0)] == YES && reply[at_(me, 1)] == YES; awaited[me] = 0;
        reply[at_(me, 0)] = NOTHING; reply[at_(me, 1)] = NOTHING }
-  /* Patience ends, or the coordinator dies. */
+  /* The call times out, or the coordinator crashes. */
   :: atomic { all = false; awaited[me] = 0; reply[at_(me, 0)] = NOTHING; reply[at_(me, 1)] = NOTHING }
   fi
 }
