--- a/test/soak/proxy.test.ts
+++ b/test/soak/proxy.test.ts
@@ -32,7 +32,7 @@
   far.on('data', (piece) => (received.far += piece.toString()));
   for (const socket of [near, far]) socket.on('error', () => undefined);
   try {
-    await run({ proxy, near, far, received: received });
+    await run({ proxy, near, far, received });
   } finally {
     proxy.close();
     near.destroy();
