--- a/fakes/http/http.ts
+++ b/fakes/http/http.ts
@@ -1,32 +1,32 @@
-/** Small HTTP helpers of the stand-ins. */
+/** HTTP helpers shared by the fakes. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** Reads a JSON body; undefined when there is none. */
+/** Parses the JSON body of a request; undefined if the body is empty. */
 export async function readJson(req: IncomingMessage): Promise<unknown> {
-  const parts: Buffer[] = [];
-  for await (const part of req as AsyncIterable<Buffer>) parts.push(part);
-  const text = Buffer.concat(parts).toString('utf8');
+  const chunks: Buffer[] = [];
+  for await (const chunk of req as AsyncIterable<Buffer>) chunks.push(chunk);
+  const text = Buffer.concat(chunks).toString('utf8');
   return text === '' ? undefined : JSON.parse(text);
 }
 
-/** Sends JSON. */
+/** Ends a response with a JSON body. */
 export function sendJson(
   res: ServerResponse,
   status: number,
-  data: unknown,
+  body: unknown,
   headers: Record<string, string> = {},
 ): void {
   res.writeHead(status, { 'content-type': 'application/json', ...headers });
-  res.end(JSON.stringify(data));
+  res.end(JSON.stringify(body));
 }
 
-/** Serves on a loopback port that the system chooses. */
+/** Serves on a free loopback port; a handler that fails gives status 500 or a closed connection. */
 export async function serveLoopback(
-  handle: (req: IncomingMessage, res: ServerResponse) => Promise<void>,
+  handler: (req: IncomingMessage, res: ServerResponse) => Promise<void>,
 ): Promise<{ server: Server; port: number; url: string }> {
   const server = createServer((req, res) => {
-    handle(req, res).catch((err: unknown) => {
+    handler(req, res).catch((err: unknown) => {
       if (!res.headersSent) sendJson(res, 500, { error: String(err) });
       else res.destroy();
     });
@@ -36,7 +36,7 @@
   return { server, port, url: `http://127.0.0.1:${port}` };
 }
 
-/** Closes a server and all its connections. */
+/** Stops listening and closes all connections, also those in use. */
 export function closeServer(server: Server): void {
   server.close();
   server.closeAllConnections();
--- a/fakes/model-engine/group.ts
+++ b/fakes/model-engine/group.ts
@@ -1,12 +1,14 @@
-/** Stand-in of a group of model engines: ranks that batch continuously and advance in lock-step. */
+/** Fake group of model engines: its ranks use continuous batching and advance in lock-step. */
 import type { Server } from 'node:http';
 import { seededRandom } from '../../src/core/clock/index.js';
 import { closeServer, readJson, sendJson, serveLoopback } from '../http/index.js';
 import { Rank } from './rank.js';
-import { DEFAULT_GROUP, type ExpertMap, type GroupOptions } from './types.js';
+import { DEFAULT_GROUP_OPTIONS, type ExpertMap, type GroupOptions } from './types.js';
 
-/** The map that spreads experts over ranks in order. */
-export function plainMap(options: Pick<GroupOptions, 'ranks' | 'layers' | 'experts'>): ExpertMap {
+/** The initial map, which assigns experts to ranks in order. */
+export function sequentialMap(
+  options: Pick<GroupOptions, 'ranks' | 'layers' | 'experts'>,
+): ExpertMap {
   const perRank = Math.ceil(options.experts / options.ranks);
   const layer = Array.from({ length: options.ranks }, (_, rank) =>
     Array.from({ length: perRank }, (_, i) => (rank * perRank + i) % options.experts),
@@ -14,7 +16,7 @@
   return { id: 'initial', layers: Array.from({ length: options.layers }, () => layer) };
 }
 
-/** A running group; each rank has its own address. */
+/** A running group in which each rank listens on its own address. */
 export class FakeGroup {
   readonly ranks: Rank[];
   readonly urls: string[] = [];
@@ -26,13 +28,13 @@
   private step = 0;
 
   private constructor(readonly options: GroupOptions) {
-    const map = plainMap(options);
+    const map = sequentialMap(options);
     this.ranks = Array.from({ length: options.ranks }, (_, i) => new Rank(i, options, map));
   }
 
-  /** Starts every rank on a port that the system chooses. */
+  /** Starts every rank on a free loopback port. */
   static async start(options: Partial<GroupOptions> = {}): Promise<FakeGroup> {
-    const group = new FakeGroup({ ...DEFAULT_GROUP, ...options });
+    const group = new FakeGroup({ ...DEFAULT_GROUP_OPTIONS, ...options });
     for (const rank of group.ranks) {
       const { server, url } = await serveLoopback(async (req, res) => {
         if (req.url === '/control/stall')
@@ -46,17 +48,17 @@
       group.servers.push(server);
       group.urls.push(url);
     }
-    group.schedule(group.options.stepMs);
+    group.scheduleTick(group.options.stepMs);
     return group;
   }
 
-  /** Stalls one rank, and with it the group, for a while. */
+  /** Stalls one rank for `ms`, and with it the whole group. */
   stall(rank: number, ms: number): void {
     this.stalledUntil[rank] = Date.now() + ms;
   }
 
-  /** Makes some experts take most of the tokens. */
-  setHot(experts: number[]): void {
+  /** Makes experts hot: 70 % of tokens are routed to these, the others to any expert. */
+  setHotExperts(experts: number[]): void {
     this.hotExperts = experts;
   }
 
@@ -67,59 +69,60 @@
 
   private control(
     rank: number,
-    data: { ms?: number; hot?: number[] } | undefined,
+    command: { ms?: number; hot?: number[] } | undefined,
     res: Parameters<typeof sendJson>[0],
   ): void {
-    if (data?.ms) this.stall(rank, data.ms);
-    if (data?.hot) this.setHot(data.hot);
+    if (command?.ms) this.stall(rank, command.ms);
+    if (command?.hot) this.setHotExperts(command.hot);
     sendJson(res, 200, {});
   }
 
-  private schedule(ms: number): void {
+  private scheduleTick(ms: number): void {
     this.timer = setTimeout(() => this.tick(), ms);
   }
 
   private tick(): void {
     const now = Date.now();
-    const next = this.step + 1;
+    const nextStep = this.step + 1;
     const stalled = this.stalledUntil.some((until) => until > now);
-    if (stalled || this.ranks.some((rank) => rank.mustHold(next))) return this.schedule(1);
-    this.step = next;
+    if (stalled || this.ranks.some((rank) => rank.mustHold(nextStep))) return this.scheduleTick(1);
+    this.step = nextStep;
     let tokens = 0;
     for (const rank of this.ranks) {
-      rank.enterStep(next);
+      rank.enterStep(nextStep);
       tokens += rank.advance();
     }
-    const skew = tokens > 0 ? this.spread(tokens) : 1;
+    const skew = tokens > 0 ? this.routeTokens(tokens) : 1;
     for (const rank of this.ranks) {
       rank.skew = skew;
       rank.lastStepMs = this.options.stepMs * (1 + (skew - 1) / 2);
     }
-    this.schedule(this.ranks[0]?.lastStepMs ?? this.options.stepMs);
+    this.scheduleTick(this.ranks[0]?.lastStepMs ?? this.options.stepMs);
   }
 
-  /** Sends a step's tokens to experts by popularity; returns the step-time skew over ranks. */
-  private spread(tokens: number): number {
+  /** Routes one step's tokens to experts by popularity; returns the step-time skew of the ranks. */
+  private routeTokens(tokens: number): number {
     const { experts, layers, ranks } = this.options;
-    const load = new Array<number>(ranks).fill(0);
+    const tokensByRank = new Array<number>(ranks).fill(0);
     for (let token = 0; token < tokens; token += 1) {
-      const hot = this.hotExperts.length > 0 && this.random() < 0.7;
-      const expert = hot
+      const isHot = this.hotExperts.length > 0 && this.random() < 0.7;
+      const expert = isHot
         ? (this.hotExperts[Math.floor(this.random() * this.hotExperts.length)] as number)
         : Math.floor(this.random() * experts);
-      for (let layer = 0; layer < layers; layer += 1) this.place(layer, expert, token, load);
+      for (let layer = 0; layer < layers; layer += 1)
+        this.routeToken(layer, expert, token, tokensByRank);
     }
-    const mean = load.reduce((sum, l) => sum + l, 0) / ranks;
-    return mean > 0 ? Math.max(...load) / mean : 1;
+    const mean = tokensByRank.reduce((sum, l) => sum + l, 0) / ranks;
+    return mean > 0 ? Math.max(...tokensByRank) / mean : 1;
   }
 
-  private place(layer: number, expert: number, token: number, load: number[]): void {
-    const first = this.ranks[0] as Rank;
-    const holders = (first.switchState.map.layers[layer] ?? []).flatMap((held, rank) =>
+  private routeToken(layer: number, expert: number, token: number, tokensByRank: number[]): void {
+    const firstRank = this.ranks[0] as Rank;
+    const holders = (firstRank.switchState.map.layers[layer] ?? []).flatMap((held, rank) =>
       held.includes(expert) ? [rank] : [],
     );
     const holder = holders[token % Math.max(1, holders.length)] ?? 0;
-    load[holder] = (load[holder] ?? 0) + 1;
+    tokensByRank[holder] = (tokensByRank[holder] ?? 0) + 1;
     const counts = this.ranks[holder]?.counts[layer];
     if (counts) counts[expert] = (counts[expert] ?? 0) + 1;
   }
--- a/fakes/model-engine/main.ts
+++ b/fakes/model-engine/main.ts
@@ -1,4 +1,4 @@
-/** The model engine stand-in as a process: a group whose options come as JSON; prints its URLs. */
+/** Runs the fake model engines as a process: takes the group's options as JSON, prints the URLs. */
 import { FakeGroup } from './group.js';
 import type { GroupOptions } from './types.js';
 
--- a/fakes/model-engine/rank.ts
+++ b/fakes/model-engine/rank.ts
@@ -1,20 +1,20 @@
-/** One rank of the stand-in: its requests, its prefix cache and its part of the map switch. */
+/** One rank of the fake group: its requests and its part of the map switch. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readJson, sendJson } from '../http/index.js';
 import type { EngineExecution, ExpertMap, GroupOptions, MapUse, RankSwitchState } from './types.js';
 
-interface Work {
+interface EngineRequest {
   readonly id: string;
   readonly nonce: string;
-  readonly total: number;
+  readonly totalTokens: number;
   readonly isStream: boolean;
   readonly execution: EngineExecution;
   readonly res: ServerResponse;
-  /** Tokens made, or had by the caller before. */
-  made: number;
+  /** Tokens generated, including those that the caller received before it resumed the stream. */
+  generatedTokens: number;
 }
 
-interface Order {
+interface SwitchOrder {
   readonly kind: 'fence' | 'load' | 'arm' | 'confirm' | 'abort';
   readonly epoch: number;
   readonly target?: number;
@@ -22,18 +22,18 @@
   readonly step?: number;
 }
 
-/** One rank; the group calls `enterStep` and `advance`. */
+/** One rank, driven by the group through `enterStep` and `advance`. */
 export class Rank {
   readonly executions: EngineExecution[] = [];
   readonly mapUses: MapUse[] = [];
   readonly switchState: RankSwitchState;
-  /** Tokens by layer and expert since they were last read. */
+  /** Tokens by layer and expert since the counts were last reset. */
   counts: number[][];
   step = 0;
   lastStepMs: number;
   skew = 1;
-  private readonly active: Work[] = [];
-  private readonly waiting: Work[] = [];
+  private readonly active: EngineRequest[] = [];
+  private readonly waiting: EngineRequest[] = [];
 
   constructor(
     readonly index: number,
@@ -45,7 +45,7 @@
     this.lastStepMs = options.stepMs;
   }
 
-  /** Whether this rank waits before a step for a decision that has not come. */
+  /** Whether this rank waits before a step because its armed map is neither confirmed nor aborted. */
   mustHold(step: number): boolean {
     const { armed } = this.switchState;
     return (
@@ -53,7 +53,7 @@
     );
   }
 
-  /** Enters a step, with a new map when one is confirmed for it. */
+  /** Enters a step and changes to the armed map if it is confirmed for this step. */
   enterStep(step: number): void {
     this.step = step;
     const state = this.switchState;
@@ -65,13 +65,13 @@
       this.mapUses.push({ step, mapId: state.map.id });
   }
 
-  /** Generates one token of every active request; returns how many. */
+  /** Generates one token for each active request; returns the number of requests still active. */
   advance(): number {
     while (this.active.length < this.options.batchLimit && this.waiting.length > 0)
-      this.active.push(this.waiting.shift() as Work);
-    for (const work of [...this.active]) {
-      this.make(work);
-      if (work.made >= work.total) this.finish(work, 'done');
+      this.active.push(this.waiting.shift() as EngineRequest);
+    for (const request of [...this.active]) {
+      this.generateToken(request);
+      if (request.generatedTokens >= request.totalTokens) this.finish(request, 'done');
     }
     return this.active.length;
   }
@@ -80,16 +80,17 @@
     return this.active.length === 0 && this.waiting.length === 0;
   }
 
-  /** Serves the engine's HTTP interface. */
+  /** Serves the engine's HTTP API and the control paths of tests. */
   async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://engine');
     if (url.pathname === '/v1/chat/completions') return this.serveChat(req, res);
     if (url.pathname === '/state')
       return this.sendState(res, url.searchParams.get('counts') === 'take');
-    if (url.pathname === '/orders') return this.serveOrder((await readJson(req)) as Order, res);
+    if (url.pathname === '/orders')
+      return this.serveOrder((await readJson(req)) as SwitchOrder, res);
     if (url.pathname === '/control/executions') return sendJson(res, 200, this.executions);
     if (url.pathname === '/control/maps') return sendJson(res, 200, this.mapUses);
-    sendJson(res, 404, { error: 'no such path' });
+    sendJson(res, 404, { error: 'unknown path' });
   }
 
   zeroCounts(): number[][] {
@@ -114,67 +115,74 @@
       end: 'running',
     };
     this.executions.push(execution);
-    const after = Number(req.headers['last-event-id'] ?? -1);
-    const work: Work = {
+    const lastEventId = Number(req.headers['last-event-id'] ?? -1);
+    const request: EngineRequest = {
       id,
       nonce: execution.nonce,
-      total: body.max_tokens ?? 16,
+      totalTokens: body.max_tokens ?? 16,
       isStream: body.stream === true,
       execution,
       res,
-      made: after + 1,
+      generatedTokens: lastEventId + 1,
     };
-    // Who leaves has its work cancelled.
+    // A request is cancelled when its caller disconnects.
     res.on('close', () => {
-      if (execution.end === 'running') this.finish(work, 'cancelled');
+      if (execution.end === 'running') this.finish(request, 'cancelled');
     });
-    if (work.isStream)
+    if (request.isStream)
       res.writeHead(200, { 'content-type': 'text/event-stream', 'x-request-id': id });
-    if (work.isStream) res.flushHeaders();
-    this.waiting.push(work);
-  }
-
-  /** Makes the next token, and tells it where the answer is streamed. */
-  private make(work: Work): void {
-    const place = work.made;
-    work.made += 1;
-    if (work.isStream) work.res.write(`id: ${place}\ndata: ${this.chunk(work, place)}\n\n`);
-    if (work.made < work.total) return;
-    if (work.isStream) work.res.end(`id: ${work.total}\ndata: [DONE]\n\n`);
-    else this.sendWhole(work);
-  }
-
-  private chunk(work: Work, place: number): string {
-    const last = place === work.total - 1;
-    const delta = { content: `${work.nonce}:${place} ` };
+    if (request.isStream) res.flushHeaders();
+    this.waiting.push(request);
+  }
+
+  /** Generates the next token and, for a stream, sends it as an event. */
+  private generateToken(request: EngineRequest): void {
+    const tokenIndex = request.generatedTokens;
+    request.generatedTokens += 1;
+    if (request.isStream)
+      request.res.write(
+        `id: ${tokenIndex}\ndata: ${this.completionChunk(request, tokenIndex)}\n\n`,
+      );
+    if (request.generatedTokens < request.totalTokens) return;
+    if (request.isStream) request.res.end(`id: ${request.totalTokens}\ndata: [DONE]\n\n`);
+    else this.sendCompletion(request);
+  }
+
+  private completionChunk(request: EngineRequest, tokenIndex: number): string {
+    const isLast = tokenIndex === request.totalTokens - 1;
+    const delta = { content: `${request.nonce}:${tokenIndex} ` };
     return JSON.stringify({
-      id: work.id,
+      id: request.id,
       object: 'chat.completion.chunk',
       created: 0,
       model: 'fake',
-      choices: [{ index: 0, delta, finish_reason: last ? 'stop' : null }],
+      choices: [{ index: 0, delta, finish_reason: isLast ? 'stop' : null }],
     });
   }
 
-  private sendWhole(work: Work): void {
+  private sendCompletion(request: EngineRequest): void {
     const content = Array.from(
-      { length: work.total },
-      (_, place) => `${work.nonce}:${place} `,
+      { length: request.totalTokens },
+      (_, tokenIndex) => `${request.nonce}:${tokenIndex} `,
     ).join('');
     const choices = [{ index: 0, message: { role: 'assistant', content }, finish_reason: 'stop' }];
-    const usage = { prompt_tokens: 1, completion_tokens: work.total, total_tokens: work.total + 1 };
+    const usage = {
+      prompt_tokens: 1,
+      completion_tokens: request.totalTokens,
+      total_tokens: request.totalTokens + 1,
+    };
     sendJson(
-      work.res,
+      request.res,
       200,
-      { id: work.id, object: 'chat.completion', created: 0, model: 'fake', choices, usage },
-      { 'x-request-id': work.id },
+      { id: request.id, object: 'chat.completion', created: 0, model: 'fake', choices, usage },
+      { 'x-request-id': request.id },
     );
   }
 
-  private finish(work: Work, end: 'done' | 'cancelled'): void {
-    work.execution.end = end;
+  private finish(request: EngineRequest, end: 'done' | 'cancelled'): void {
+    request.execution.end = end;
     for (const list of [this.active, this.waiting]) {
-      const at = list.indexOf(work);
+      const at = list.indexOf(request);
       if (at >= 0) list.splice(at, 1);
     }
   }
@@ -195,31 +203,31 @@
     };
   }
 
-  private sendState(res: ServerResponse, takeCounts: boolean): void {
-    const counts = takeCounts ? this.counts : undefined;
-    if (takeCounts) this.counts = this.zeroCounts();
+  private sendState(res: ServerResponse, resetsCounts: boolean): void {
+    const counts = resetsCounts ? this.counts : undefined;
+    if (resetsCounts) this.counts = this.zeroCounts();
     sendJson(res, 200, { ...this.stateJson(), counts });
   }
 
-  private async serveOrder(order: Order, res: ServerResponse): Promise<void> {
+  private async serveOrder(order: SwitchOrder, res: ServerResponse): Promise<void> {
     if (this.options.checksFences && order.epoch < this.switchState.fence) {
-      return sendJson(res, 409, { error: 'old epoch', ...this.stateJson() });
+      return sendJson(res, 409, { error: 'epoch is older than the fence', ...this.stateJson() });
     }
     if (this.options.checksFences) this.switchState.fence = order.epoch;
     if (order.kind === 'load' && order.map) await this.loadExperts(order.map);
-    const done = this.apply(order);
-    sendJson(res, done ? 200 : 409, { ...this.stateJson() });
+    const isAccepted = this.applyOrder(order);
+    sendJson(res, isAccepted ? 200 : 409, { ...this.stateJson() });
   }
 
   private async loadExperts(map: ExpertMap): Promise<void> {
-    const have = this.switchState.map.layers.map((layer) => new Set(layer[this.index] ?? []));
+    const loaded = this.switchState.map.layers.map((layer) => new Set(layer[this.index] ?? []));
     const missing = map.layers.flatMap((layer, l) =>
-      (layer[this.index] ?? []).filter((e) => !have[l]?.has(e)),
+      (layer[this.index] ?? []).filter((e) => !loaded[l]?.has(e)),
     );
     await new Promise((resolve) => setTimeout(resolve, missing.length * this.options.expertLoadMs));
   }
 
-  private apply(order: Order): boolean {
+  private applyOrder(order: SwitchOrder): boolean {
     const state = this.switchState;
     if (order.kind === 'arm') {
       if (!order.map || order.step === undefined || order.step <= this.step || state.armed)
--- a/fakes/model-engine/types.ts
+++ b/fakes/model-engine/types.ts
@@ -1,28 +1,28 @@
-/** Types of the model engine stand-in. */
+/** Types of the fake model engine. */
 
-/** Experts by layer and rank. */
+/** Expert map: the experts held by each rank, by layer. */
 export interface ExpertMap {
   readonly id: string;
   readonly layers: readonly (readonly (readonly number[])[])[];
 }
 
-/** How a group of engines behaves. */
+/** Options of a fake group. */
 export interface GroupOptions {
   readonly ranks: number;
   /** Time of a balanced step, ms. */
   readonly stepMs: number;
   readonly batchLimit: number;
-  /** Whether a rank itself refuses orders of a lower epoch. */
+  /** Whether each rank rejects orders with an epoch below its fence. */
   readonly checksFences: boolean;
-  /** Whether an armed rank waits at its step for the decision; off only to show that it must. */
+  /** Whether an armed rank waits at its step for the decision; false only to show why it must. */
   readonly holdsAtStep: boolean;
-  /** Time that loading one expert takes, ms. */
+  /** Time to load one expert, ms. */
   readonly expertLoadMs: number;
   readonly layers: number;
   readonly experts: number;
 }
 
-export const DEFAULT_GROUP: GroupOptions = {
+export const DEFAULT_GROUP_OPTIONS: GroupOptions = {
   ranks: 1,
   stepMs: 5,
   batchLimit: 16,
@@ -33,7 +33,7 @@
   experts: 8,
 };
 
-/** One execution of a request, as a rank saw it. */
+/** One execution of a request, as recorded by a rank. */
 export interface EngineExecution {
   readonly id: string;
   readonly nonce: string;
@@ -42,13 +42,13 @@
   end: 'running' | 'done' | 'cancelled';
 }
 
-/** A rank came to use a map from a step on. */
+/** The first step in which a rank used a map. */
 export interface MapUse {
   readonly step: number;
   readonly mapId: string;
 }
 
-/** State of a rank's map switch, as the engine itself holds it. */
+/** State of the map switch in the engine of one rank. */
 export interface RankSwitchState {
   fence: number;
   map: ExpertMap;
--- a/fakes/platform-engine/rank-calls.ts
+++ b/fakes/platform-engine/rank-calls.ts
@@ -1,4 +1,4 @@
-/** The calls of one rank's engine on the platform's wire, before a group that is played. */
+/** Serves the platform's HTTP API of one rank's engine on top of a simulated group. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { EngineCalls, EngineCommand } from '../../src/group/engine-calls.js';
 import { readJson, sendJson } from '../http/index.js';
@@ -29,7 +29,7 @@
 }
 
 /**
- * Serves a rank's calls; false when the request is none of them.
+ * Serves the engine calls of a rank; returns false for any other request.
  * @example if (await serveRankCalls(calls, req, res)) return;
  */
 export async function serveRankCalls(
@@ -67,7 +67,7 @@
   if (url.pathname !== '/harrierglade/order') return false;
   const wire = (await readJson(req)) as WireOrder;
   const answer = await calls.command(decodeOrder(wire), wire['fencing-token'], wire.epoch);
-  // An order without an answer leaves its connection open and silent.
+  // An unanswered order leaves its connection open without a response.
   if (answer !== 'unanswered') sendJson(res, ANSWER_STATUS[answer], {});
   return true;
 }
--- a/fakes/platform/main.ts
+++ b/fakes/platform/main.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in as a process: prints its URL, then serves until it is ended. */
+/** Runs the fake platform as a process: prints its URL and serves until it is terminated. */
 import { FakePlatform } from './platform.js';
 
 const lagMs = Number(process.argv[2] ?? 0);
--- a/fakes/platform/platform.ts
+++ b/fakes/platform/platform.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform: a configuration service that daemons can only read and watch, and a list that lags. */
+/** Fake platform: a configuration and a lagging instance list, which daemons read and watch. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { Changes } from '../../src/core/clock/index.js';
 import { bodyDigest } from '../../src/core/config-feed/index.js';
@@ -9,7 +9,7 @@
 import type { InstanceList, InstanceRecord } from '../../src/generated/instances.types.js';
 import { closeServer, readJson, sendJson, serveLoopback } from '../http/index.js';
 
-/** How the platform behaves: as usual, refusing every call, or serving what stood at some moment. */
+/** How the platform responds: normally, closing every connection, or with an earlier snapshot. */
 export type PlatformMode = 'up' | 'down' | 'stale';
 
 interface Snapshot {
@@ -17,14 +17,14 @@
   list: InstanceList | undefined;
 }
 
-/** A running platform stand-in. */
+/** A running fake platform. */
 export class FakePlatform {
-  /** Reads and watches so far, a waiting watch counted once. */
+  /** Reads and watches received; a long-polling watch counts once. */
   calls = 0;
   private mode: PlatformMode = 'up';
-  private now: Snapshot = { config: undefined, list: undefined };
-  private frozen: Snapshot = this.now;
-  private readonly published = new Map<number, ConfigurationDocument>();
+  private current: Snapshot = { config: undefined, list: undefined };
+  private frozenSnapshot: Snapshot = this.current;
+  private readonly publishedDocuments = new Map<number, ConfigurationDocument>();
   private readonly changes = new Changes();
 
   private constructor(
@@ -33,7 +33,7 @@
     private readonly listLagMs: number,
   ) {}
 
-  /** Starts on a port that the system chooses. */
+  /** Starts on a free loopback port. */
   static async start(listLagMs = 0): Promise<FakePlatform> {
     const holder: { platform?: FakePlatform } = {};
     const { server, url } = await serveLoopback(
@@ -43,36 +43,42 @@
     return holder.platform;
   }
 
-  /** Publishes a body as the next version; `basedOn` is the version its author had read. */
-  publish(body: ConfigurationBody, basedOn = this.now.config?.version ?? 0): ConfigurationDocument {
-    const version = (this.now.config?.version ?? 0) + 1;
+  /** Publishes a body as the next version; `basedOn` is the version that its author had read. */
+  publish(
+    body: ConfigurationBody,
+    basedOn = this.current.config?.version ?? 0,
+  ): ConfigurationDocument {
+    const version = (this.current.config?.version ?? 0) + 1;
     const doc = { version, basedOn, digest: bodyDigest(body), body };
-    this.published.set(version, doc);
-    this.now = { ...this.now, config: doc };
+    this.publishedDocuments.set(version, doc);
+    this.current = { ...this.current, config: doc };
     this.changes.notify();
     return doc;
   }
 
-  /** Sets the list; it shows after the lag. */
+  /** Sets the instance list, which becomes visible after the lag. */
   setInstances(instances: InstanceRecord[]): void {
     const apply = (): void => {
-      this.now = { ...this.now, list: { version: (this.now.list?.version ?? 0) + 1, instances } };
+      this.current = {
+        ...this.current,
+        list: { version: (this.current.list?.version ?? 0) + 1, instances },
+      };
       this.changes.notify();
     };
     if (this.listLagMs > 0) setTimeout(apply, this.listLagMs).unref();
     else apply();
   }
 
-  /** Changes how the platform behaves from now on. */
+  /** Sets the response mode; `stale` freezes the current snapshot. */
   setMode(mode: PlatformMode): void {
-    if (mode === 'stale' && this.mode !== 'stale') this.frozen = { ...this.now };
+    if (mode === 'stale' && this.mode !== 'stale') this.frozenSnapshot = { ...this.current };
     this.mode = mode;
     this.changes.notify();
   }
 
-  /** Shows an older document and no list while stale, as a lagging replica would. */
+  /** Serves an older document and no list, as a lagging replica would. */
   freezeAt(version: number): void {
-    this.frozen = { config: this.published.get(version), list: undefined };
+    this.frozenSnapshot = { config: this.publishedDocuments.get(version), list: undefined };
     this.mode = 'stale';
     this.changes.notify();
   }
@@ -82,21 +88,21 @@
     closeServer(this.server);
   }
 
-  private shown(): Snapshot {
-    return this.mode === 'stale' ? this.frozen : this.now;
+  private visibleSnapshot(): Snapshot {
+    return this.mode === 'stale' ? this.frozenSnapshot : this.current;
   }
 
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://platform');
     if (url.pathname.startsWith('/control/')) return this.control(url.pathname, req, res);
     this.calls += 1;
-    const what = url.pathname === '/configuration' ? 'config' : 'list';
-    const above = Number(url.searchParams.get('above') ?? 0);
+    const field = url.pathname === '/configuration' ? 'config' : 'list';
+    const aboveVersion = Number(url.searchParams.get('above') ?? 0);
     const untilMs = Date.now() + Number(url.searchParams.get('wait') ?? 0);
     while (!res.destroyed) {
       if (this.mode === 'down') return void res.destroy();
-      const value = this.shown()[what];
-      if (value && value.version > above) return sendJson(res, 200, value);
+      const value = this.visibleSnapshot()[field];
+      if (value && value.version > aboveVersion) return sendJson(res, 200, value);
       const leftMs = untilMs - Date.now();
       if (leftMs <= 0) return void res.writeHead(304).end();
       await this.changes.next(leftMs);
@@ -104,7 +110,7 @@
   }
 
   private async control(path: string, req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const data = (await readJson(req)) as
+    const command = (await readJson(req)) as
       | {
           body?: ConfigurationBody;
           basedOn?: number;
@@ -113,11 +119,11 @@
           freezeAt?: number;
         }
       | undefined;
-    if (path === '/control/publish' && data?.body)
-      return sendJson(res, 200, this.publish(data.body, data.basedOn));
-    if (path === '/control/instances' && data?.instances) this.setInstances(data.instances);
-    if (path === '/control/freeze' && data?.freezeAt) this.freezeAt(data.freezeAt);
-    if (path === '/control/mode' && data?.mode) this.setMode(data.mode);
+    if (path === '/control/publish' && command?.body)
+      return sendJson(res, 200, this.publish(command.body, command.basedOn));
+    if (path === '/control/instances' && command?.instances) this.setInstances(command.instances);
+    if (path === '/control/freeze' && command?.freezeAt) this.freezeAt(command.freezeAt);
+    if (path === '/control/mode' && command?.mode) this.setMode(command.mode);
     sendJson(res, 200, { calls: this.calls });
   }
 }
--- a/fakes/rank-engine/rank-group.ts
+++ b/fakes/rank-engine/rank-group.ts
@@ -1,7 +1,8 @@
 /**
- * Stand-in of a group of ranks that steps in lock-step and takes the orders of a map switch as the
- * platform's engines do: versions that only rise, fences, a hold that does not lapse, orders that get no
- * answer and are carried out seconds later. It notes every step that began with different maps.
+ * Simulated group of ranks that advance in lock-step and handle the orders of a map switch as the
+ * platform's engines do: versions only increase, orders are fenced, a hold never expires, and some
+ * orders get no answer and are executed seconds later. It records every step that started with
+ * different maps.
  */
 import type {
   CommandResult,
@@ -10,78 +11,78 @@
   EngineReport,
 } from '../../src/group/engine-calls.js';
 
-/** Time as the group needs it: played or real. */
+/** Clock and timers of the group, virtual or real. */
 export interface GroupTime {
   nowMs(): number;
-  /** Calls back after so many ms. */
+  /** Calls `run` after `ms`. */
   after(ms: number, run: () => void): void;
   sleep(ms: number): Promise<void>;
 }
 
-/** How the group behaves. */
+/** Options of a simulated group. */
 export interface RankGroupOptions {
   readonly ranks: number;
   readonly stepMs: number;
   readonly copyMs: number;
-  /** Share of orders that get no answer and are carried out late. */
+  /** Share of orders that get no answer and are executed late. */
   readonly lateShare: () => number;
-  /** Whether fences are checked; off only to show that they must be. */
+  /** Whether fences are checked; false only to show why they must be. */
   readonly checksFences: boolean;
-  /** Time until an order that is left unanswered counts as such for its agent, ms. */
+  /** Time after which an agent treats its order as unanswered, ms. */
   readonly noAnswerMs?: number | undefined;
-  /** Steps after which demand shifts to the next expert; never where left out. */
+  /** Number of steps after which demand shifts to the next expert; never if omitted. */
   readonly shiftSteps?: number | undefined;
 }
 
-/** A map as one rank holds it: its version says nothing of its contents. */
+/** The map of one rank; equal versions do not imply equal contents. */
 interface HeldMap {
   readonly version: number;
-  /** Experts by rank; the group has one layer. */
+  /** Experts by rank, for the only layer of the group. */
   readonly experts: readonly (readonly number[])[];
 }
 
 interface Rank {
-  /** When its engine started, ms of the group's time. */
+  /** Start of its engine on the group's clock, ms. */
   readonly startedAtMs: number;
   map: HeldMap;
-  /** What is prepared, or is being copied. */
-  next: HeldMap | undefined;
-  /** Version whose experts have been copied. */
-  prepared: number | undefined;
-  highest: number;
+  /** Map that is prepared or whose experts are being copied. */
+  nextMap: HeldMap | undefined;
+  /** Version of the map whose experts are completely copied. */
+  preparedVersion: number | undefined;
+  highestVersion: number;
   armed: { version: number; step: number } | undefined;
-  held: number | undefined;
+  heldStep: number | undefined;
   fence: number;
 }
 
-/** Tokens of one step for each expert, before demand first shifts. */
+/** Tokens per step for each expert, before demand first shifts. */
 const DEMAND = [500, 20, 10];
 const ANSWER_MS = 3;
-const NO_ANSWER_MS = 250;
-/** Ticks that a late one counts for at most. */
-const MOST_TICKS = 4;
-const LATE_MS = { least: 2000, most: 12_000 };
+const DEFAULT_ANSWER_TIMEOUT_MS = 250;
+/** Limit to the number of steps that one delayed tick adds to a hold. */
+const MAX_TICKS_COUNTED = 4;
+const LATE_ORDER_MS = { min: 2000, max: 12_000 };
 
-const fresh = (startedAtMs: number): Rank => ({
+const newRank = (startedAtMs: number): Rank => ({
   startedAtMs,
   map: { version: 0, experts: [] },
-  next: undefined,
-  prepared: undefined,
-  highest: 0,
+  nextMap: undefined,
+  preparedVersion: undefined,
+  highestVersion: 0,
   armed: undefined,
-  held: undefined,
+  heldStep: undefined,
   fence: 0,
 });
 
-/** A group of ranks. */
+/** A simulated group of ranks. */
 export class RankGroup {
-  /** Steps that began with maps that differ by version or by contents. */
+  /** Steps that started while maps of the ranks differed by version or by contents. */
   readonly mixed: number[] = [];
   step = 0;
   epoch = 1;
-  private longestMs = 0;
-  private heldMs = 0;
-  private lastTickMs = 0;
+  private maxHoldMs = 0;
+  private currentHoldMs = 0;
+  private lastTickAtMs = 0;
   private ranks: Rank[];
 
   constructor(
@@ -89,55 +90,59 @@
     private readonly random: () => number,
     private readonly options: RankGroupOptions,
   ) {
-    this.ranks = Array.from({ length: options.ranks }, () => fresh(time.nowMs()));
+    this.ranks = Array.from({ length: options.ranks }, () => newRank(time.nowMs()));
     this.time.after(options.stepMs, () => this.tick());
   }
 
-  /** Longest time between two steps while ranks held theirs, ms; a hold that goes on counts so far. */
+  /** Longest time between two steps due to a hold, ms; includes a hold in progress. */
   get longestHoldMs(): number {
-    return this.longestMs;
+    return this.maxHoldMs;
   }
 
-  /** Forms the group anew, as after its engines started again under the ids that they had. */
+  /** Starts the group again in a new epoch, as when its engines restart under the same IDs. */
   reform(): void {
     this.epoch += 1;
-    this.ranks = this.ranks.map(() => fresh(this.time.nowMs()));
+    this.ranks = this.ranks.map(() => newRank(this.time.nowMs()));
   }
 
-  /** Versions in use, by rank. */
+  /** Map versions in use, by rank. */
   maps(): number[] {
     return this.ranks.map((rank) => rank.map.version);
   }
 
   private tick(): void {
     this.time.after(this.options.stepMs, () => this.tick());
-    const sinceMs = this.time.nowMs() - this.lastTickMs;
-    this.lastTickMs = this.time.nowMs();
-    if (this.ranks.some((rank) => rank.held === this.step + 1)) return this.noteHold(sinceMs);
-    this.heldMs = 0;
+    const elapsedMs = this.time.nowMs() - this.lastTickAtMs;
+    this.lastTickAtMs = this.time.nowMs();
+    if (this.ranks.some((rank) => rank.heldStep === this.step + 1))
+      return this.recordHold(elapsedMs);
+    this.currentHoldMs = 0;
     this.step += 1;
     for (const rank of this.ranks) {
       if (rank.armed?.step !== this.step) continue;
-      if (rank.next) rank.map = rank.next;
+      if (rank.nextMap) rank.map = rank.nextMap;
       rank.armed = undefined;
     }
     if (new Set(this.ranks.map((rank) => JSON.stringify(rank.map))).size > 1)
       this.mixed.push(this.step);
   }
 
-  /** A tick that comes late by far tells that this process stood still, not the group. */
-  private noteHold(sinceMs: number): void {
-    this.heldMs += Math.min(sinceMs, MOST_TICKS * this.options.stepMs);
-    this.longestMs = Math.max(this.longestMs, this.options.stepMs + this.heldMs);
+  /**
+   * Adds the time since the last tick to the current hold. The part counted is limited, since a much
+   * delayed tick means that this process stalled, not the group.
+   */
+  private recordHold(elapsedMs: number): void {
+    this.currentHoldMs += Math.min(elapsedMs, MAX_TICKS_COUNTED * this.options.stepMs);
+    this.maxHoldMs = Math.max(this.maxHoldMs, this.options.stepMs + this.currentHoldMs);
   }
 
-  /** The calls of one rank's own agent. */
+  /** Engine calls for the agent of one rank. */
   calls(index: number): EngineCalls {
-    const of = (): Rank => this.ranks[index] as Rank;
+    const currentRank = (): Rank => this.ranks[index] as Rank;
     return {
       report: async () => {
         await this.time.sleep(ANSWER_MS);
-        const rank = of();
+        const rank = currentRank();
         const report: EngineReport = {
           group: 'g',
           startedAtMs: rank.startedAtMs,
@@ -150,30 +155,32 @@
           queued: 0,
           step: this.step,
           mapVersion: rank.map.version,
-          preparedVersion: rank.prepared,
+          preparedVersion: rank.preparedVersion,
           armed: rank.armed && { ...rank.armed },
-          heldStep: rank.held,
+          heldStep: rank.heldStep,
         };
         return report;
       },
-      placed: () => Promise.resolve([this.heldBy(index)]),
-      // Demand favours one expert, more of it with each step; all of it is chosen by the first rank.
-      picked: () => Promise.resolve([index === 0 ? this.picked() : DEMAND.map(() => 0)]),
+      placed: () => Promise.resolve([this.expertsOf(index)]),
+      // Demand favours one expert, ever more with each step; the first rank reports all counts.
+      picked: () =>
+        Promise.resolve([index === 0 ? this.countTokensByExpert() : DEMAND.map(() => 0)]),
       command: async (command, fence, epoch) => {
         if (this.random() < this.options.lateShare()) {
-          const lateMs = LATE_MS.least + this.random() * (LATE_MS.most - LATE_MS.least);
-          this.time.after(lateMs, () => this.carryOut(index, command, fence, epoch));
-          await this.time.sleep(this.options.noAnswerMs ?? NO_ANSWER_MS);
+          const delayMs =
+            LATE_ORDER_MS.min + this.random() * (LATE_ORDER_MS.max - LATE_ORDER_MS.min);
+          this.time.after(delayMs, () => this.execute(index, command, fence, epoch));
+          await this.time.sleep(this.options.noAnswerMs ?? DEFAULT_ANSWER_TIMEOUT_MS);
           return 'unanswered';
         }
         await this.time.sleep(ANSWER_MS);
-        return this.carryOut(index, command, fence, epoch);
+        return this.execute(index, command, fence, epoch);
       },
     };
   }
 
   /** Tokens of all steps so far, by expert. */
-  private picked(): number[] {
+  private countTokensByExpert(): number[] {
     const { shiftSteps = Number.POSITIVE_INFINITY } = this.options;
     const counts = DEMAND.map(() => 0);
     for (let shifts = 0; shifts * shiftSteps < this.step || shifts === 0; shifts += 1) {
@@ -186,13 +193,13 @@
     return counts;
   }
 
-  /** Experts that a rank holds; each of the first map's stands once. */
-  private heldBy(index: number): number[] {
+  /** Experts of a rank; in the first map, each rank holds the expert with its own index. */
+  private expertsOf(index: number): number[] {
     const { map } = this.ranks[index] as Rank;
     return [...(map.experts[index] ?? [index])];
   }
 
-  private carryOut(
+  private execute(
     index: number,
     command: EngineCommand,
     fence: number,
@@ -201,21 +208,21 @@
     const rank = this.ranks[index] as Rank;
     if (epoch !== this.epoch) return 'refused';
     if (this.options.checksFences && fence < rank.fence) return 'fenced';
-    if (!this.fits(rank, command)) return 'refused';
+    if (!this.isValid(rank, command)) return 'refused';
     rank.fence = Math.max(rank.fence, fence);
     this.apply(rank, command);
     return 'taken';
   }
 
-  private fits(rank: Rank, command: EngineCommand): boolean {
+  private isValid(rank: Rank, command: EngineCommand): boolean {
     switch (command.kind) {
       case 'prepare':
-        if (command.version === rank.prepared) return true;
-        return command.version > rank.highest && !rank.armed;
+        if (command.version === rank.preparedVersion) return true;
+        return command.version > rank.highestVersion && !rank.armed;
       case 'arm':
         if (rank.armed)
           return rank.armed.version === command.version && rank.armed.step === command.step;
-        return command.version === rank.prepared && command.step > this.step;
+        return command.version === rank.preparedVersion && command.step > this.step;
       case 'disarm':
         return command.version !== rank.map.version;
       case 'hold':
@@ -227,20 +234,20 @@
 
   private apply(rank: Rank, command: EngineCommand): void {
     if (command.kind === 'prepare') {
-      if (command.version === rank.highest) return;
-      rank.highest = command.version;
-      rank.next = { version: command.version, experts: command.layers[0] ?? [] };
-      rank.prepared = undefined;
+      if (command.version === rank.highestVersion) return;
+      rank.highestVersion = command.version;
+      rank.nextMap = { version: command.version, experts: command.layers[0] ?? [] };
+      rank.preparedVersion = undefined;
       const { epoch } = this;
       this.time.after(this.options.copyMs, () => {
-        if (this.epoch === epoch && rank.highest === command.version)
-          rank.prepared = command.version;
+        if (this.epoch === epoch && rank.highestVersion === command.version)
+          rank.preparedVersion = command.version;
       });
     }
     if (command.kind === 'arm') rank.armed = { version: command.version, step: command.step };
     if (command.kind === 'disarm' && rank.armed?.version === command.version)
       rank.armed = undefined;
-    if (command.kind === 'hold') rank.held = command.step;
-    if (command.kind === 'go' && rank.held === command.step) rank.held = undefined;
+    if (command.kind === 'hold') rank.heldStep = command.step;
+    if (command.kind === 'go' && rank.heldStep === command.step) rank.heldStep = undefined;
   }
 }
--- a/fakes/rank-engine/virtual-time.ts
+++ b/fakes/rank-engine/virtual-time.ts
@@ -1,4 +1,4 @@
-/** Time that passes only when nothing else is left to do, so that minutes are played in moments. */
+/** Virtual time that advances only when no other work is pending, to simulate minutes in moments. */
 
 interface Timer {
   readonly atMs: number;
@@ -6,7 +6,7 @@
   readonly run: () => void;
 }
 
-/** A clock and its timers. */
+/** A virtual clock and its timers. */
 export class VirtualTime {
   private now = 0;
   private sequence = 0;
@@ -15,7 +15,7 @@
   readonly nowMs = (): number => this.now;
   readonly wallMs = (): number => this.now;
 
-  /** Calls back after so many ms. */
+  /** Calls `run` after `ms`. */
   after(ms: number, run: () => void): void {
     this.sequence += 1;
     this.timers.push({ atMs: this.now + Math.max(0, ms), order: this.sequence, run });
@@ -24,8 +24,8 @@
   readonly sleep = (ms: number): Promise<void> => new Promise((resolve) => this.after(ms, resolve));
 
   /**
-   * Plays until a time; every promise that can settle does so before the clock moves on.
-   * @example await time.playUntil(60_000);
+   * Runs timers up to a time; every promise that can settle does so before the clock advances.
+   * @example await time.runUntil(60_000);
    */
   async playUntil(untilMs: number): Promise<void> {
     for (;;) {
--- a/fakes/rank-engine/wall-time.ts
+++ b/fakes/rank-engine/wall-time.ts
@@ -1,15 +1,15 @@
-/** Real time for a group that is played with real processes; its timers end with it. */
+/** Real time, for a simulated group that works with real processes. */
 import type { GroupTime } from './rank-group.js';
 
-/** The time of this process, until it is stopped. */
+/** Clock and timers of this process, until they are stopped. */
 export class WallTime implements GroupTime {
   private readonly timers = new Set<NodeJS.Timeout>();
   private readonly startedAtMs = performance.now();
 
-  /** Ms since this time began, as in played time. */
+  /** Time since this object was created, ms; starts at 0 as virtual time does. */
   readonly nowMs = (): number => performance.now() - this.startedAtMs;
 
-  /** Calls back after so many ms, unless the time is stopped before. */
+  /** Calls `run` after `ms`, unless stopped before. */
   after(ms: number, run: () => void): void {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
@@ -20,7 +20,7 @@
 
   readonly sleep = (ms: number): Promise<void> => new Promise((resolve) => this.after(ms, resolve));
 
-  /** Ends all timers; what sleeps never wakes. */
+  /** Cancels all timers; pending sleeps never resolve. */
   stop(): void {
     for (const timer of this.timers) clearTimeout(timer);
     this.timers.clear();
--- a/fakes/raw-endpoint/raw-endpoint.ts
+++ b/fakes/raw-endpoint/raw-endpoint.ts
@@ -1,23 +1,24 @@
-/** Stand-in of an endpoint whose answers are written byte by byte, so that it can break every rule. */
+/** Fake endpoint whose responses are raw bytes, so that they can violate HTTP or the API. */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 
-/** One request as it came. */
+/** A request as received. */
 export interface RawRequest {
+  /** Request line, such as `GET /x HTTP/1.1`. */
   readonly line: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
   readonly socket: Socket;
 }
 
-/** Answers a request by writing to its socket. */
+/** Responds to a request by writing to its socket. */
 export type RawAnswer = (req: RawRequest) => void;
 
-/** A running stand-in. */
+/** A running fake endpoint. */
 export interface RawEndpoint {
   readonly address: string;
-  /** Requests that came, in order. */
+  /** Requests received, in order. */
   readonly requests: RawRequest[];
-  /** Connections that were opened. */
+  /** Number of connections accepted. */
   connections: number;
   answer: RawAnswer;
   close(): void;
@@ -26,20 +27,20 @@
 const HEAD_END = '\r\n\r\n';
 
 function parseHead(head: string): { line: string; headers: Record<string, string> } {
-  const [line = '', ...rest] = head.split('\r\n');
+  const [line = '', ...headerLines] = head.split('\r\n');
   const headers: Record<string, string> = {};
-  for (const text of rest) {
-    const colon = text.indexOf(':');
-    headers[text.slice(0, colon).toLowerCase()] = text.slice(colon + 1).trim();
+  for (const headerLine of headerLines) {
+    const colon = headerLine.indexOf(':');
+    headers[headerLine.slice(0, colon).toLowerCase()] = headerLine.slice(colon + 1).trim();
   }
   return { line, headers };
 }
 
 /**
- * Starts an endpoint.
- * @example const endpoint = await startRawEndpoint((req) => req.socket.write(okAnswer(req, 'x')));
+ * Starts a fake endpoint.
+ * @example const endpoint = await startRawEndpoint((req) => req.socket.write(okResponse(req, 'x')));
  */
-export async function startRawEndpoint(answer: RawAnswer): Promise<RawEndpoint> {
+export async function startRawEndpoint(respond: RawAnswer): Promise<RawEndpoint> {
   const sockets = new Set<Socket>();
   const server: Server = createServer((socket) => {
     fake.connections += 1;
@@ -47,15 +48,15 @@
     socket.on('error', () => undefined);
     socket.on('close', () => sockets.delete(socket));
     let text = '';
-    socket.on('data', (piece) => {
-      text += piece.toString('latin1');
+    socket.on('data', (bytes) => {
+      text += bytes.toString('latin1');
       for (let end = text.indexOf(HEAD_END); end >= 0; end = text.indexOf(HEAD_END)) {
         const { line, headers } = parseHead(text.slice(0, end));
         const length = Number(headers['content-length'] ?? 0);
-        const bodyAt = end + HEAD_END.length;
-        if (text.length < bodyAt + length) return;
-        const req = { line, headers, body: text.slice(bodyAt, bodyAt + length), socket };
-        text = text.slice(bodyAt + length);
+        const bodyStart = end + HEAD_END.length;
+        if (text.length < bodyStart + length) return;
+        const req = { line, headers, body: text.slice(bodyStart, bodyStart + length), socket };
+        text = text.slice(bodyStart + length);
         fake.requests.push(req);
         fake.answer(req);
       }
@@ -66,7 +67,7 @@
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
     requests: [],
     connections: 0,
-    answer,
+    answer: respond,
     close: () => {
       server.close();
       for (const socket of sockets) socket.destroy();
@@ -75,25 +76,34 @@
   return fake;
 }
 
-/** Head of an answer that is signed and names its request. */
-export function answerHead(req: RawRequest, status: string, more: readonly string[]): string {
+/** Response head with the ID of the request and the stamp of the server. */
+export function answerHead(
+  req: RawRequest,
+  status: string,
+  extraHeaders: readonly string[],
+): string {
   const id = req.headers['x-request-id'] ?? '';
-  return [`HTTP/1.1 ${status}`, `X-Request-Id: ${id}`, 'X-Server-Stamp: s.1', ...more, '', ''].join(
-    '\r\n',
-  );
+  return [
+    `HTTP/1.1 ${status}`,
+    `X-Request-Id: ${id}`,
+    'X-Server-Stamp: s.1',
+    ...extraHeaders,
+    '',
+    '',
+  ].join('\r\n');
 }
 
-/** A whole answer. */
+/** A complete response with status 200. */
 export function okAnswer(req: RawRequest, body: string): string {
   return answerHead(req, '200 OK', [`Content-Length: ${body.length}`]) + body;
 }
 
-/** One chunk of a chunked answer; an empty text is the last one. */
+/** One chunk of a chunked response; an empty text gives the last chunk. */
 export function chunk(text: string): string {
   return `${text.length.toString(16)}\r\n${text}\r\n`;
 }
 
-/** One event of a stream. */
+/** One server-sent event. */
 export function event(id: number): string {
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
--- a/fakes/service-engine/main.ts
+++ b/fakes/service-engine/main.ts
@@ -1,4 +1,4 @@
-/** The service stand-in as a process: prints its URL, then serves until it is ended. */
+/** Runs the fake service as a process: prints its URL and serves until it is terminated. */
 import { FakeService } from './service.js';
 
 const service = await FakeService.start(Number(process.argv[2] ?? 5));
--- a/fakes/service-engine/service.ts
+++ b/fakes/service-engine/service.ts
@@ -1,8 +1,8 @@
-/** Stand-in of a plain service: answers after a while and records every execution. */
+/** Fake plain service: answers after a fixed time and records every execution. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { closeServer, readJson, sendJson, serveLoopback } from '../http/index.js';
 
-/** One execution, as the service saw it. */
+/** One execution, as recorded by the service. */
 export interface ServiceExecution {
   readonly requestId: string;
   readonly organisation: string;
@@ -12,7 +12,7 @@
   readonly atMs: number;
 }
 
-/** A running service stand-in. */
+/** A running fake service. */
 export class FakeService {
   readonly executions: ServiceExecution[] = [];
 
@@ -22,7 +22,7 @@
     private readonly workMs: number,
   ) {}
 
-  /** Starts on a port that the system chooses; each call takes `workMs`. */
+  /** Starts on a free loopback port; each call takes `workMs`. */
   static async start(workMs = 5): Promise<FakeService> {
     const holder: { service?: FakeService } = {};
     const { server, url } = await serveLoopback(
@@ -39,8 +39,8 @@
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://service');
     if (url.pathname === '/control/executions') return sendJson(res, 200, this.executions);
-    const data = (await readJson(req)) as { nonce?: string } | undefined;
-    const nonce = data?.nonce ?? url.searchParams.get('nonce') ?? '';
+    const body = (await readJson(req)) as { nonce?: string } | undefined;
+    const nonce = body?.nonce ?? url.searchParams.get('nonce') ?? '';
     this.executions.push({
       requestId: String(req.headers['x-request-id'] ?? ''),
       organisation: String(req.headers['x-organisation'] ?? ''),
--- a/fakes/store/store.ts
+++ b/fakes/store/store.ts
@@ -1,8 +1,11 @@
-/** Stand-in of the platform's store: items with revisions, range, watch, and the ways in which it fails. */
+/** Fake of the platform's key-value store: revisions, range reads, watches and failure modes. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { closeServer, sendJson, serveLoopback } from '../http/index.js';
 
-/** How the store behaves towards all callers. */
+/**
+ * How the store responds to every call: normally, with status 503, with a connection reset, never,
+ * with a body that is not JSON, or with a truncated body.
+ */
 export type StoreMood = 'well' | 'busy' | 'reset' | 'silent' | 'no-json' | 'half';
 
 interface Item {
@@ -16,57 +19,57 @@
   readonly value?: string;
 }
 
-/** All that a store held at a moment. */
+/** Contents of a store at one time. */
 export interface StoreCopy {
   readonly items: ReadonlyMap<string, Item>;
   readonly changes: readonly Change[];
   readonly revision: number;
 }
 
-/** A running stand-in. */
+/** A running fake store. */
 export interface StoreFake {
   readonly url: string;
   readonly host: string;
   readonly port: number;
-  /** Calls by path since the start. */
+  /** Number of calls by path since the start. */
   readonly calls: Map<string, number>;
   mood: StoreMood;
-  /** Items in one page of a range. */
+  /** Maximum number of items in one page of a range. */
   pageSize: number;
   put(key: string, document: unknown): void;
-  /** Puts bytes that need not be JSON or even base64. */
+  /** Stores a value as given, which need not be valid base64 or JSON. */
   putRaw(key: string, value: string): void;
   remove(key: string): void;
-  /** Forgets the history and cuts all waits. */
+  /** Discards the history of changes; watches from an earlier revision end with status 410. */
   compact(): void;
-  /** All that it holds now. */
+  /** Current contents of the store. */
   copy(): StoreCopy;
   /**
-   * Comes back from a copy, in a new era: what was written since is gone, its revisions are given out again, and all waits
-   * are cut.
+   * Restores a snapshot and starts a new era: later writes are lost, their revisions are reused, and
+   * the connections of waiting watches are closed.
    */
-  restore(copy: StoreCopy): void;
+  restore(snapshot: StoreCopy): void;
   close(): void;
 }
 
-/** Time for which Node keeps an idle connection unless told otherwise, ms. */
-const NODE_IDLE_MS = 5000;
+/** Default keep-alive timeout of a Node HTTP server, ms. */
+const NODE_KEEP_ALIVE_MS = 5000;
 
 /**
- * Starts a store, which keeps idle connections for `idleMs`.
+ * Starts a store that closes idle connections after `keepAliveMs`.
  * @example const store = await startStore(); store.put('op/config', { version: 1 });
  */
-export async function startStore(idleMs = NODE_IDLE_MS): Promise<StoreFake> {
+export async function startStore(keepAliveMs = NODE_KEEP_ALIVE_MS): Promise<StoreFake> {
   let items = new Map<string, Item>();
   let changes: Change[] = [];
   let revision = 1;
   let era = 1;
-  let forgottenUpTo = 0;
+  let compactedRevision = 0;
   const calls = new Map<string, number>();
-  const waiting = new Map<() => void, ServerResponse>();
+  const waitingWatches = new Map<() => void, ServerResponse>();
 
-  const wake = (): void => {
-    for (const look of [...waiting.keys()]) look();
+  const answerWatches = (): void => {
+    for (const tryAnswer of [...waitingWatches.keys()]) tryAnswer();
   };
 
   function range(prefix: string, after: string | undefined): object {
@@ -85,24 +88,24 @@
     const prefix = url.searchParams.get('path-prefix') ?? '';
     const after = Number(url.searchParams.get('after-revision'));
     const waitMs = Number(url.searchParams.get('wait-ms'));
-    const end = (): void => {
+    const stopWaiting = (): void => {
       clearTimeout(timer);
-      waiting.delete(look);
+      waitingWatches.delete(tryAnswer);
     };
-    res.on('close', () => end());
-    const look = (timedOut = false): void => {
-      if (after < forgottenUpTo || after > revision) {
-        end();
+    res.on('close', () => stopWaiting());
+    const tryAnswer = (timedOut = false): void => {
+      if (after < compactedRevision || after > revision) {
+        stopWaiting();
         return sendJson(res, 410, {});
       }
       const events = changes.filter((c) => c.revision > after && c.key.startsWith(prefix));
       if (events.length === 0 && !timedOut) return;
-      end();
+      stopWaiting();
       sendJson(res, 200, { events, 'as-of': revision });
     };
-    const timer = setTimeout(() => look(true), waitMs);
-    waiting.set(look, res);
-    look();
+    const timer = setTimeout(() => tryAnswer(true), waitMs);
+    waitingWatches.set(tryAnswer, res);
+    tryAnswer();
   }
 
   async function serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -132,7 +135,7 @@
   }
 
   const served = await serveLoopback(serve);
-  served.server.keepAliveTimeout = idleMs;
+  served.server.keepAliveTimeout = keepAliveMs;
   const fake: StoreFake = {
     url: served.url,
     host: '127.0.0.1',
@@ -146,26 +149,26 @@
       revision += 1;
       items.set(key, { value, revision });
       changes.push({ key, revision, value });
-      wake();
+      answerWatches();
     },
     remove: (key) => {
       revision += 1;
       items.delete(key);
       changes.push({ key, revision });
-      wake();
+      answerWatches();
     },
     compact: () => {
-      forgottenUpTo = revision;
+      compactedRevision = revision;
       changes = [];
-      wake();
+      answerWatches();
     },
     copy: () => ({ items: new Map(items), changes: [...changes], revision }),
-    restore: (copy) => {
+    restore: (snapshot) => {
       era += 1;
-      items = new Map(copy.items);
-      changes = [...copy.changes];
-      revision = copy.revision;
-      for (const res of waiting.values()) res.destroy();
+      items = new Map(snapshot.items);
+      changes = [...snapshot.changes];
+      revision = snapshot.revision;
+      for (const res of waitingWatches.values()) res.destroy();
     },
     close: () => closeServer(served.server),
   };
