--- a/scripts/generate.mjs
+++ b/scripts/generate.mjs
@@ -1,6 +1,6 @@
 /**
  * Generates types and validators from src/schema into src/generated.
- * With --check it writes nothing and fails when the committed files are stale.
+ * With --check it writes nothing and exits with 1 if the committed files are stale.
  */
 import { readFileSync, readdirSync, writeFileSync, existsSync } from 'node:fs';
 import { basename, join } from 'node:path';
@@ -17,8 +17,8 @@
   return JSON.parse(readFileSync(join(SCHEMA_DIR, file), 'utf8'));
 }
 
-/** Messages have one exported validator for each definition. */
-function messageCode(ajv, schema) {
+/** Generates one exported validator for each definition of the messages schema. */
+function messageValidators(ajv, schema) {
   ajv.addSchema(schema);
   const refs = Object.keys(schema.definitions).map((name) => [
     `is${name}`,
@@ -27,7 +27,7 @@
   return standaloneCode.default(ajv, Object.fromEntries(refs));
 }
 
-function declarations(schema) {
+function validatorDeclarations(schema) {
   if (schema.$id !== MESSAGES) {
     return (
       "import type { ErrorObject } from 'ajv';\n" +
@@ -51,9 +51,9 @@
   });
   const code =
     schema.$id === MESSAGES
-      ? messageCode(ajv, schema)
+      ? messageValidators(ajv, schema)
       : standaloneCode.default(ajv, ajv.compile(schema));
-  // Ajv emits require() for its length helper even in ES modules.
+  // Ajv emits require() for its string length helper even in ES modules.
   return code.replace(
     /const (\w+) = require\("(ajv\/dist\/runtime\/\w+)"\)\.default;/g,
     'import $1Module from "$2.js";\nconst $1 = $1Module.default;',
@@ -61,28 +61,28 @@
 }
 
 async function generateAll() {
-  const out = new Map();
-  const files = readdirSync(SCHEMA_DIR).filter((f) => f.endsWith('.schema.json'));
-  for (const file of files.sort()) {
+  const files = new Map();
+  const schemaFiles = readdirSync(SCHEMA_DIR).filter((f) => f.endsWith('.schema.json'));
+  for (const file of schemaFiles.sort()) {
     const name = basename(file, '.schema.json');
     const schema = readSchema(file);
     const types = await compile(structuredClone(schema), schema.title, {
       bannerComment: BANNER,
       ignoreMinAndMaxItems: true,
     });
-    out.set(`${name}.types.ts`, types);
-    out.set(`${name}.validator.js`, BANNER + validatorCode(schema));
-    out.set(`${name}.validator.d.ts`, BANNER + declarations(schema));
+    files.set(`${name}.types.ts`, types);
+    files.set(`${name}.validator.js`, BANNER + validatorCode(schema));
+    files.set(`${name}.validator.d.ts`, BANNER + validatorDeclarations(schema));
   }
-  return out;
+  return files;
 }
 
 const check = process.argv.includes('--check');
 let stale = 0;
 for (const [file, text] of await generateAll()) {
   const path = join(OUT_DIR, file);
-  const now = existsSync(path) ? readFileSync(path, 'utf8') : '';
-  if (now === text) continue;
+  const current = existsSync(path) ? readFileSync(path, 'utf8') : '';
+  if (current === text) continue;
   if (!check) writeFileSync(path, text);
   else {
     stale += 1;
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,10 +1,13 @@
-/** Runs the compiled tests with node's runner; a test that KNOWN-RED.txt lists may fail and is printed. */
+/**
+ * Runs the compiled tests with Node's test runner. Tests listed in KNOWN-RED.txt may fail, and their
+ * names are printed.
+ */
 import { spawnSync } from 'node:child_process';
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 
-const ROOT = 'dist/test';
-const MOST_KNOWN_RED = 3;
+const TEST_DIR = 'dist/test';
+const MAX_KNOWN_RED = 3;
 
 function testFiles(dir) {
   return readdirSync(dir, { withFileTypes: true }).flatMap((entry) => {
@@ -14,7 +17,8 @@
   });
 }
 
-function knownRed() {
+/** Names of the tests that may fail: the first field of each line. */
+function readKnownRed() {
   if (!existsSync('KNOWN-RED.txt')) return [];
   const lines = readFileSync('KNOWN-RED.txt', 'utf8')
     .split('\n')
@@ -24,31 +28,31 @@
     .map((line) => line.split('|')[0].trim());
 }
 
-const red = knownRed();
-if (red.length > MOST_KNOWN_RED) {
-  console.error(`KNOWN-RED.txt lists ${red.length} tests; ${MOST_KNOWN_RED} at most`);
+const knownRed = readKnownRed();
+if (knownRed.length > MAX_KNOWN_RED) {
+  console.error(`KNOWN-RED.txt lists ${knownRed.length} tests; the limit is ${MAX_KNOWN_RED}`);
   process.exit(1);
 }
-// Whole-system tests start a dozen processes each: a few files at once are enough.
+// Each test of the whole system starts a dozen processes, so only a few files run concurrently.
 const args = [
   '--test',
   '--test-reporter=spec',
   '--test-concurrency=3',
   '--test-timeout=120000',
-  ...testFiles(ROOT),
+  ...testFiles(TEST_DIR),
 ];
-const run = spawnSync(process.execPath, args, {
+const result = spawnSync(process.execPath, args, {
   stdio: ['ignore', 'pipe', 'inherit'],
   encoding: 'utf8',
   maxBuffer: 1 << 28,
 });
-process.stdout.write(run.stdout);
-if (run.status === 0) process.exit(0);
-const failed = [...run.stdout.matchAll(/^\s*(?:✖|not ok \d+ -) (.+?)(?: \([\d.]+ms\))?$/gm)].map(
+process.stdout.write(result.stdout);
+if (result.status === 0) process.exit(0);
+const failed = [...result.stdout.matchAll(/^\s*(?:✖|not ok \d+ -) (.+?)(?: \([\d.]+ms\))?$/gm)].map(
   (m) => m[1].trim(),
 );
 const unexpected = failed.filter(
-  (name) => name !== 'failing tests:' && !red.includes(name) && !name.endsWith('.test.js'),
+  (name) => name !== 'failing tests:' && !knownRed.includes(name) && !name.endsWith('.test.js'),
 );
-for (const name of red) console.log(`known red: ${name}`);
-process.exit(red.length > 0 && unexpected.length === 0 && failed.length > 0 ? 0 : 1);
+for (const name of knownRed) console.log(`known red: ${name}`);
+process.exit(knownRed.length > 0 && unexpected.length === 0 && failed.length > 0 ? 0 : 1);
