--- a/bench/decisions/limit-bench.ts
+++ b/bench/decisions/limit-bench.ts
@@ -1,4 +1,4 @@
-/** Compares ways to share out what endpoints take from all entries together. */
+/** Compares policies that divide the rate limits of endpoints among all entries. */
 import { LIMIT_WAYS, playLimit, type LimitPlay } from './limit-model.js';
 
 const ENTRIES = [6, 42, 100];
@@ -7,15 +7,18 @@
 const SECONDS = 60;
 const ENDPOINTS = 3;
 
-/** How callers ask: at twice the limits, evenly or half of them at one entry, or in waves of 15 s at six times the limits. */
-const CALLERS = {
+/**
+ * Load from callers: twice the limits, spread evenly or with half of it at one entry, or six times
+ * the limits in waves of 15 s.
+ */
+const CALLER_PATTERNS = {
   even: { load: 2 },
   uneven: { load: 2, firstShare: 0.5 },
   waves: { load: 6, waveS: 15 },
 } as const satisfies Record<string, Partial<LimitPlay>>;
 
-/** What one way came to in one case: the most in 4 s of some seed, the mean share that was used. */
-export interface LimitFigure {
+/** Result of one policy in one case: the maximum in 4 s over all seeds and the mean share used. */
+export interface LimitResult {
   readonly way: string;
   readonly entries: number;
   readonly limitPerS: number;
@@ -25,14 +28,20 @@
   readonly used: number;
 }
 
-/** All ways in all cases. */
-export function limitFigures(): LimitFigure[] {
+/** Simulates all policies in all cases. */
+export function measureLimits(): LimitResult[] {
   return ENTRIES.flatMap((entries) =>
     LIMITS_PER_S.flatMap((limitPerS) =>
-      Object.entries(CALLERS).flatMap(([callers, how]) =>
-        Object.entries(LIMIT_WAYS).map(([way, share]) => {
-          const play = { entries, limitPerS, endpoints: ENDPOINTS, seconds: SECONDS, ...how };
-          const outcomes = SEEDS.map((seed) => playLimit({ seed, ...play }, share));
+      Object.entries(CALLER_PATTERNS).flatMap(([callers, pattern]) =>
+        Object.entries(LIMIT_WAYS).map(([way, policy]) => {
+          const scenario = {
+            entries,
+            limitPerS,
+            endpoints: ENDPOINTS,
+            seconds: SECONDS,
+            ...pattern,
+          };
+          const outcomes = SEEDS.map((seed) => playLimit({ seed, ...scenario }, policy));
           const used = outcomes.reduce((sum, one) => sum + one.used, 0) / SEEDS.length;
           const most = Math.max(...outcomes.map((one) => one.most));
           return { way, entries, limitPerS, callers, allowed: 6 * limitPerS + 5, most, used };
--- a/bench/decisions/limit-model.ts
+++ b/bench/decisions/limit-model.ts
@@ -1,4 +1,4 @@
-/** Entries that send to endpoints of one service that named a limit: a model in which their callers ask at random. */
+/** Simulates entries that send random requests to the rate-limited endpoints of one service. */
 import {
   TokenBucket,
   limitShare,
@@ -8,152 +8,154 @@
 } from '../../src/core/backpressure/index.js';
 import { seededRandom } from '../../src/core/clock/index.js';
 
-/** What is played. */
+/** Parameters of a simulation. */
 export interface LimitPlay {
   readonly seed: number;
   readonly entries: number;
   readonly endpoints: number;
-  /** Requests a second that each endpoint takes. */
+  /** Limit of each endpoint, requests per second. */
   readonly limitPerS: number;
-  /** Requests a second that come, in multiples of what all endpoints take. */
+  /** Arrival rate of requests, as a multiple of the limits of all endpoints. */
   readonly load: number;
-  /** Share of the callers that come to the first entry; an equal share where left out. */
+  /** Share of requests that arrive at the first entry; an equal share if omitted. */
   readonly firstShare?: number;
-  /** Callers ask in waves: almost none for so many seconds, then all at once for as long; no waves where left out. */
+  /** Length of the quiet and of the busy half of a wave, s; constant load if omitted. */
   readonly waveS?: number;
-  /** Seconds after which the entries know one another; at once where left out. */
+  /** Time after which the entries know each other, s; 0 if omitted. */
   readonly strangersS?: number;
   /**
-   * Entries, the last ones, that every second of the others does not know of, as they start or are cut off; the bound does not
-   * count what these send. None where left out.
+   * Number of the last entries that every second other entry does not know, as they start or are
+   * partitioned. Requests sent by these do not count towards the bound. 0 if omitted.
    */
   readonly unseen?: number;
   readonly seconds: number;
 }
 
-/** What came of it. */
+/** Result of a simulation. */
 export interface LimitOutcome {
-  /** Most that came to one endpoint in some 4 s, of those that the bound counts. */
+  /** Maximum number of requests to one endpoint within 4 s that count towards the bound. */
   readonly most: number;
-  /** Share of what the endpoints take that they got; of what was asked for, where that is less. */
+  /** Requests sent, as a share of the limits or of the requests that arrived, whichever is less. */
   readonly used: number;
 }
 
-/** What one way of sharing knows. */
-export interface WayFacts {
+/** Input to a policy: what one entry knows about one endpoint. */
+export interface LimitPolicyInput {
   readonly limitPerS: number;
   readonly entries: number;
-  /** Entries that this one knows, itself among them. */
-  readonly known: number;
+  /** Number of entries known to this one, including itself. */
+  readonly knownEntries: number;
   readonly entry: number;
-  /** Place of the endpoint among those of the service, 0 to 1. */
-  readonly ringPlace: number;
-  /** Share of all requests that came to this entry, as the others were told a second ago. */
-  readonly carriedShare: number;
-  readonly isStranger: boolean;
+  /** Position of the endpoint among those of the service, from 0 to 1. */
+  readonly ringPosition: number;
+  /** Share of all requests that arrived at this entry, as published up to a second ago. */
+  readonly trafficShare: number;
+  readonly isIsolated: boolean;
 }
 
-/** A way to share a limit out. */
-export type LimitWay = (facts: WayFacts) => LimitShare;
+/** Determines one entry's share of the limit of an endpoint. */
+export type LimitWay = (input: LimitPolicyInput) => LimitShare;
 
-const sharersOf = ({ entry, entries, known, isStranger }: WayFacts): LimitPeers =>
-  isStranger
+const peersOf = ({ entry, entries, knownEntries, isIsolated }: LimitPolicyInput): LimitPeers =>
+  isIsolated
     ? { index: undefined, count: Math.max(ASSUMED_PEERS, entries) }
-    : { index: entry, count: known };
+    : { index: entry, count: knownEntries };
 
-/** Ways that were weighed. */
+/** The policies compared: equal shares, shares in proportion to traffic, and the one in use. */
 export const LIMIT_WAYS = {
   'an equal share each': ({ limitPerS, entries }) => ({ perS: limitPerS / entries, saved: 1 }),
-  'by what each carries': ({ limitPerS, carriedShare }) => ({
-    perS: limitPerS * carriedShare,
+  'by what each carries': ({ limitPerS, trafficShare }) => ({
+    perS: limitPerS * trafficShare,
     saved: 1,
   }),
-  'a ring of as many as the bound bears': (facts) =>
+  'a ring of as many as the bound bears': (input) =>
     limitShare({
-      limitPerS: facts.limitPerS,
-      peers: sharersOf(facts),
-      ringPosition: facts.ringPlace,
+      limitPerS: input.limitPerS,
+      peers: peersOf(input),
+      ringPosition: input.ringPosition,
     }),
 } as const satisfies Record<string, LimitWay>;
 
 const WINDOW_MS = 4000;
 const STEP_MS = 10;
-/** Time constant of what an entry says that it carries, and the delay with which the others know it, ms. */
-const CARRIED_MS = 2000;
-const TOLD_MS = 1000;
-/** Load between two waves, as a share of the load in them. */
-const EBB = 0.02;
+/** Time constant of the traffic averaged by an entry, ms. */
+const TRAFFIC_TIME_CONSTANT_MS = 2000;
+/** Interval at which entries publish their average traffic, ms. */
+const PUBLISH_INTERVAL_MS = 1000;
+/** Load between two waves, as a share of the load during a wave. */
+const LOAD_BETWEEN_WAVES = 0.02;
 
-function mostInWindow(times: readonly number[]): number {
-  let from = 0;
-  let most = 0;
+function countMaxInWindow(times: readonly number[]): number {
+  let start = 0;
+  let max = 0;
   for (const [i, atMs] of times.entries()) {
-    while ((times[from] ?? atMs) <= atMs - WINDOW_MS) from += 1;
-    most = Math.max(most, i - from + 1);
+    while ((times[start] ?? atMs) <= atMs - WINDOW_MS) start += 1;
+    max = Math.max(max, i - start + 1);
   }
-  return most;
+  return max;
 }
 
-/** Share of the requests that come to an entry. */
-function callersShare({ entries, firstShare }: LimitPlay, entry: number): number {
+/** Share of requests that arrive at an entry. */
+function callerShare({ entries, firstShare }: LimitPlay, entry: number): number {
   if (firstShare === undefined || entries === 1) return 1 / entries;
   return entry === 0 ? firstShare : (1 - firstShare) / (entries - 1);
 }
 
-/** Entries that one of them knows. */
-function knownBy({ entries, unseen = 0 }: LimitPlay, entry: number): number {
-  const missesSome = entry % 2 === 1 && entry < entries - unseen;
-  return missesSome ? entries - unseen : entries;
+/** Number of entries known to an entry, including itself. */
+function countKnownEntries({ entries, unseen = 0 }: LimitPlay, entry: number): number {
+  const hasPartialView = entry % 2 === 1 && entry < entries - unseen;
+  return hasPartialView ? entries - unseen : entries;
 }
 
 /**
- * Plays one way.
- * @example playLimit({ seed: 1, entries: 42, endpoints: 3, limitPerS: 4, load: 2, seconds: 60 }, way).most
+ * Simulates one policy.
+ * @example simulateLimit({ seed: 1, entries: 42, endpoints: 3, limitPerS: 4, load: 2, seconds: 60 }, policy)
  */
-export function playLimit(play: LimitPlay, way: LimitWay): LimitOutcome {
-  const { entries, endpoints, limitPerS, load, waveS, seconds } = play;
-  const random = seededRandom(play.seed);
+export function playLimit(scenario: LimitPlay, policy: LimitWay): LimitOutcome {
+  const { entries, endpoints, limitPerS, load, waveS, seconds } = scenario;
+  const random = seededRandom(scenario.seed);
   const buckets = Array.from({ length: entries }, () =>
     Array.from({ length: endpoints }, () => new TokenBucket(random)),
   );
-  let got = 0;
-  const came: number[][] = Array.from({ length: endpoints }, () => []);
-  const carried = Array.from({ length: entries }, () => 0);
-  let told = carried;
-  let asked = 0;
+  let sent = 0;
+  const sentAtMs: number[][] = Array.from({ length: endpoints }, () => []);
+  const traffic = Array.from({ length: entries }, () => 0);
+  let publishedTraffic = traffic;
+  let requested = 0;
   for (let atMs = 0; atMs < seconds * 1000; atMs += STEP_MS) {
-    if (atMs % TOLD_MS === 0) told = [...carried];
-    const total = told.reduce((sum, one) => sum + one, 0);
-    const isEbb = waveS !== undefined && Math.floor(atMs / 1000 / waveS) % 2 === 0;
-    const perStep = (endpoints * limitPerS * load * (isEbb ? EBB : 1) * STEP_MS) / 1000;
+    if (atMs % PUBLISH_INTERVAL_MS === 0) publishedTraffic = [...traffic];
+    const total = publishedTraffic.reduce((sum, one) => sum + one, 0);
+    const isBetweenWaves = waveS !== undefined && Math.floor(atMs / 1000 / waveS) % 2 === 0;
+    const perStep =
+      (endpoints * limitPerS * load * (isBetweenWaves ? LOAD_BETWEEN_WAVES : 1) * STEP_MS) / 1000;
     for (let entry = 0; entry < entries; entry += 1) {
-      const expected = perStep * callersShare(play, entry);
-      const comes = Math.floor(expected) + (random() < expected % 1 ? 1 : 0);
-      carried[entry] = (carried[entry] ?? 0) * (1 - STEP_MS / CARRIED_MS) + comes;
-      for (let n = 0; n < comes; n += 1) {
-        asked += 1;
+      const expected = perStep * callerShare(scenario, entry);
+      const arrivals = Math.floor(expected) + (random() < expected % 1 ? 1 : 0);
+      traffic[entry] = (traffic[entry] ?? 0) * (1 - STEP_MS / TRAFFIC_TIME_CONSTANT_MS) + arrivals;
+      for (let n = 0; n < arrivals; n += 1) {
+        requested += 1;
         const first = Math.floor(random() * endpoints);
         for (let i = 0; i < endpoints; i += 1) {
           const endpoint = (first + i) % endpoints;
-          const share = way({
+          const share = policy({
             limitPerS,
             entries,
-            known: knownBy(play, entry),
+            knownEntries: countKnownEntries(scenario, entry),
             entry,
-            ringPlace: endpoint / endpoints,
-            carriedShare: total === 0 ? 1 / entries : (told[entry] ?? 0) / total,
-            isStranger: atMs < (play.strangersS ?? 0) * 1000,
+            ringPosition: endpoint / endpoints,
+            trafficShare: total === 0 ? 1 / entries : (publishedTraffic[entry] ?? 0) / total,
+            isIsolated: atMs < (scenario.strangersS ?? 0) * 1000,
           });
           const bucket = buckets[entry]?.[endpoint];
           if (!bucket || bucket.nextTokenAtMs(share, atMs) > atMs) continue;
           bucket.consume(share, atMs);
-          got += 1;
-          if (entry < entries - (play.unseen ?? 0)) came[endpoint]?.push(atMs);
+          sent += 1;
+          if (entry < entries - (scenario.unseen ?? 0)) sentAtMs[endpoint]?.push(atMs);
           break;
         }
       }
     }
   }
-  const taken = Math.min(asked, endpoints * limitPerS * seconds);
-  return { most: Math.max(...came.map(mostInWindow)), used: got / taken };
+  const attainable = Math.min(requested, endpoints * limitPerS * seconds);
+  return { most: Math.max(...sentAtMs.map(countMaxInWindow)), used: sent / attainable };
 }
--- a/bench/decisions/placement-bench.ts
+++ b/bench/decisions/placement-bench.ts
@@ -13,27 +13,27 @@
 } from '../../src/core/placement/index.js';
 import { makeTrace, type Deployment } from './traces.js';
 
-const SECONDS = 1200;
-const DECIDE_EVERY_S = 2;
+const TRACE_SECONDS = 1200;
+const DECISION_INTERVAL_S = 2;
 const TOKENS_PER_DECISION = 60_000;
 
-/** A policy looks at what is known and may name the next placement. */
+/** A policy, which may choose a new placement at each decision. */
 export interface PlacementPolicyUnderTest {
   readonly name: string;
-  readonly decide: (known: Known) => Placement | undefined;
+  readonly decide: (input: PolicyInput) => Placement | undefined;
 }
 
-/** What a policy may know at a decision. */
-export interface Known {
+/** Input to a policy at one decision. */
+export interface PolicyInput {
   readonly second: number;
   readonly current: Placement;
   readonly estimate: Popularity;
   readonly deployment: Deployment;
-  /** Bytes saved up from the store's rate and not used yet. */
+  /** Bytes that may be fetched: accrued at the rate of the weight store and not spent yet. */
   readonly budgetBytes: number;
 }
 
-/** What a policy came to on one trace. */
+/** Result of a policy on one trace, or the mean over traces. */
 export interface PlacementOutcome {
   readonly name: string;
   readonly skewMean: number;
@@ -44,8 +44,8 @@
   readonly disruptionS: number;
 }
 
-/** Ours, with the cost weight scaled to walk along the frontier. */
-export function ours(scale: number): PlacementPolicyUnderTest {
+/** The policy of harrierglade; `scale` multiplies the cost weight to trace the Pareto frontier. */
+export function harriergladePolicy(scale: number): PlacementPolicyUnderTest {
   return {
     name: scale === 1 ? 'harrierglade' : `harrierglade cost x${scale}`,
     decide: ({ second, current, estimate, deployment: d, budgetBytes }) => {
@@ -65,19 +65,19 @@
   };
 }
 
-/** Baselines on the same traces. */
+/** Baseline policies. */
 export const BASELINES: readonly PlacementPolicyUnderTest[] = [
   { name: 'never', decide: () => undefined },
   ...[60, 120, 300].map((everyS) => ({
     name: `repack every ${everyS} s`,
-    decide: ({ second, estimate, deployment: d }: Known) =>
+    decide: ({ second, estimate, deployment: d }: PolicyInput) =>
       second > 0 && second % everyS === 0
         ? packPlacement(estimate, d.ranks, d.slotsPerRank)
         : undefined,
   })),
   ...[1.1, 1.2, 1.35].map((threshold) => ({
     name: `repack above ${threshold}`,
-    decide: ({ current, estimate, deployment: d }: Known) =>
+    decide: ({ current, estimate, deployment: d }: PolicyInput) =>
       stepSkew(current, estimate) > threshold
         ? packPlacement(estimate, d.ranks, d.slotsPerRank)
         : undefined,
@@ -88,8 +88,8 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * q))] ?? Number.NaN;
 }
 
-/** Runs one policy over one trace. A new placement is in use once its bytes are fetched. */
-export function runPlacement(
+/** Simulates one policy on one trace. A new placement takes effect when its experts are fetched. */
+export function simulatePlacement(
   deployment: Deployment,
   seed: number,
   policy: PlacementPolicyUnderTest,
@@ -100,19 +100,19 @@
     deployment.experts,
     POPULARITY_HALF_LIFE_MS,
   );
-  // Every policy starts from a packing of the first minute's truth.
+  // Every policy starts from a packing of the true popularity at the start.
   let current = packPlacement(trace.shares(0), deployment.ranks, deployment.slotsPerRank);
   let pending: { readonly placement: Placement; readonly readyS: number } | undefined;
   let experts = 0;
-  let loadingS = 0;
-  let savedBytes = 0;
+  let fetchingS = 0;
+  let accruedBytes = 0;
   const skews: number[] = [];
-  for (let second = 0; second < SECONDS; second += DECIDE_EVERY_S) {
+  for (let second = 0; second < TRACE_SECONDS; second += DECISION_INTERVAL_S) {
     if (pending && second >= pending.readyS) [current, pending] = [pending.placement, undefined];
     skews.push(stepSkew(current, trace.shares(second)));
-    estimate.add(trace.counts(second, TOKENS_PER_DECISION), DECIDE_EVERY_S * 1000);
-    savedBytes = Math.min(
-      savedBytes + deployment.storeBytesPerSecond * DECIDE_EVERY_S,
+    estimate.add(trace.counts(second, TOKENS_PER_DECISION), DECISION_INTERVAL_S * 1000);
+    accruedBytes = Math.min(
+      accruedBytes + deployment.storeBytesPerSecond * DECISION_INTERVAL_S,
       (deployment.storeBytesPerSecond * MAX_BUDGET_ACCRUAL_MS) / 1000,
     );
     if (pending) continue;
@@ -121,14 +121,14 @@
       current,
       estimate: estimate.read(),
       deployment,
-      budgetBytes: savedBytes,
+      budgetBytes: accruedBytes,
     });
     if (!next) continue;
     const fetched = countFetchedExperts(current, next);
     const seconds = (fetched * deployment.expertBytes) / deployment.storeBytesPerSecond;
-    savedBytes -= Math.min(savedBytes, fetched * deployment.expertBytes);
+    accruedBytes -= Math.min(accruedBytes, fetched * deployment.expertBytes);
     experts += fetched;
-    loadingS += seconds;
+    fetchingS += seconds;
     pending = { placement: next, readyS: second + seconds };
   }
   const sorted = [...skews].sort((a, b) => a - b);
@@ -139,7 +139,7 @@
     skewP99: quantile(sorted, 0.99),
     experts,
     gigabytes: (experts * deployment.expertBytes) / 1e9,
-    disruptionS: loadingS,
+    disruptionS: fetchingS,
   };
 }
 
@@ -147,35 +147,38 @@
   return values.reduce((a, b) => a + b, 0) / values.length;
 }
 
-/** A policy's mean outcome over seeds. */
-export function overSeeds(
+/** Mean outcome of a policy over the seeds. */
+export function averageOverSeeds(
   deployment: Deployment,
   seeds: readonly number[],
   policy: PlacementPolicyUnderTest,
 ): PlacementOutcome {
-  const runs = seeds.map((seed) => runPlacement(deployment, seed, policy));
-  const of = (field: Exclude<keyof PlacementOutcome, 'name'>): number =>
+  const runs = seeds.map((seed) => simulatePlacement(deployment, seed, policy));
+  const meanOf = (field: Exclude<keyof PlacementOutcome, 'name'>): number =>
     mean(runs.map((r) => r[field]));
   return {
     name: policy.name,
-    skewMean: of('skewMean'),
-    skewP50: of('skewP50'),
-    skewP99: of('skewP99'),
-    experts: of('experts'),
-    gigabytes: of('gigabytes'),
-    disruptionS: of('disruptionS'),
+    skewMean: meanOf('skewMean'),
+    skewP50: meanOf('skewP50'),
+    skewP99: meanOf('skewP99'),
+    experts: meanOf('experts'),
+    gigabytes: meanOf('gigabytes'),
+    disruptionS: meanOf('disruptionS'),
   };
 }
 
-/** Baselines that some point of ours does not beat on both measures. */
-export function unbeaten(
-  mine: readonly PlacementOutcome[],
-  theirs: readonly PlacementOutcome[],
+/** Baselines that move experts and that no outcome of our policy dominates on both measures. */
+export function undominatedBaselines(
+  ownOutcomes: readonly PlacementOutcome[],
+  baselineOutcomes: readonly PlacementOutcome[],
 ): string[] {
-  return theirs
+  return baselineOutcomes
     .filter(
-      (t) =>
-        t.experts > 0 && !mine.some((m) => m.skewMean <= t.skewMean && m.gigabytes <= t.gigabytes),
+      (baseline) =>
+        baseline.experts > 0 &&
+        !ownOutcomes.some(
+          (own) => own.skewMean <= baseline.skewMean && own.gigabytes <= baseline.gigabytes,
+        ),
     )
     .map((t) => t.name);
 }
