--- a/bench/capacity/in-process.ts
+++ b/bench/capacity/in-process.ts
@@ -1,4 +1,4 @@
-/** Slopes of state and processor time that one process can measure by itself: run with --expose-gc. */
+/** Measures memory, message sizes and CPU time in one process, by size; run with --expose-gc. */
 import { performance } from 'node:perf_hooks';
 import { Admission } from '../../src/core/admission/index.js';
 import { systemClock } from '../../src/core/clock/index.js';
@@ -28,7 +28,7 @@
 import { makeTrace, NYUNGWE } from '../decisions/traces.js';
 import { fitLine, type Fit } from '../harness/index.js';
 
-/** One measured slope. */
+/** A quantity measured at several sizes, with a linear fit. */
 export interface Slope {
   readonly name: string;
   readonly unit: string;
@@ -36,7 +36,7 @@
   readonly fit: Fit;
 }
 
-/** A body of so many organisations and endpoints. */
+/** A configuration body with the given number of organisations and endpoints. */
 export function bodyOfSize(organisations: number, endpoints: number): ConfigurationBody {
   const ids = Array.from({ length: endpoints }, (_, i) => `region-dc-model-${i}`);
   return {
@@ -54,11 +54,11 @@
   };
 }
 
-function documentOf(body: ConfigurationBody): ConfigurationDocument {
+function toDocument(body: ConfigurationBody): ConfigurationDocument {
   return { version: 1, basedOn: 0, digest: bodyDigest(body), body };
 }
 
-function listOf(entries: number, agents: number): InstanceList {
+function instanceList(entries: number, agents: number): InstanceList {
   const record = (i: number, role: 'entry' | 'agent') => ({
     instance: `region-dc-${role}-${i}`,
     role,
@@ -84,7 +84,7 @@
   return (heapUsed + external) / 1e6;
 }
 
-function slope(
+function measureSlope(
   name: string,
   unit: string,
   sizes: readonly number[],
@@ -94,45 +94,48 @@
   return { name, unit, points, fit: fitLine(points) };
 }
 
-/** Memory that something holds, in KB. */
-function heldKb(make: () => unknown): number {
+/** Memory retained by the result of `make`, KB. */
+function retainedKb(make: () => unknown): number {
   const before = heapMb();
-  const held = make();
+  const retained = make();
   const after = heapMb();
-  if (held === undefined) throw new Error('nothing was made');
+  if (retained === undefined)
+    throw new Error('make() returned undefined; there is nothing to measure');
   return (after - before) * 1000;
 }
 
-function timeMs(run: () => void, times: number): number {
+function meanTimeMs(run: () => void, iterations: number): number {
   run();
   const start = performance.now();
-  for (let i = 0; i < times; i += 1) run();
-  return (performance.now() - start) / times;
+  for (let i = 0; i < iterations; i += 1) run();
+  return (performance.now() - start) / iterations;
 }
 
-function storeWith(body: ConfigurationBody): unknown {
+function buildFeedStore(body: ConfigurationBody): unknown {
   const store = new FeedStore(systemClock, silentLog, new Metrics());
-  // As it comes from the wire: text first, then the object.
-  store.offerConfig(JSON.parse(JSON.stringify(documentOf(body))), 'bench');
+  // Parsed from text, as a document received over the network.
+  store.offerConfig(JSON.parse(JSON.stringify(toDocument(body))), 'bench');
   return [store, new Map(body.organisations.map((o) => [o.keySha256, o]))];
 }
 
-/** A document and its successor, in which one organisation has changed. */
-function twoDocuments(organisations: number): [ConfigurationDocument, ConfigurationDocument] {
-  const before = documentOf(bodyOfSize(organisations, 600));
+/** A document and its successor, which differ in one organisation. */
+function successiveDocuments(
+  organisations: number,
+): [ConfigurationDocument, ConfigurationDocument] {
+  const before = toDocument(bodyOfSize(organisations, 600));
   const [first, ...others] = before.body.organisations;
   const changed = first ? [{ ...first, weight: 2 }, ...others] : [];
   return [
     before,
-    { ...documentOf({ ...before.body, organisations: changed }), version: 2, basedOn: 1 },
+    { ...toDocument({ ...before.body, organisations: changed }), version: 2, basedOn: 1 },
   ];
 }
 
 function deltaKb(organisations: number): number {
-  return JSON.stringify(diffConfig(...twoDocuments(organisations))).length / 1000;
+  return JSON.stringify(diffConfig(...successiveDocuments(organisations))).length / 1000;
 }
 
-function admissionWith(organisations: number): unknown {
+function buildAdmission(organisations: number): unknown {
   const admission = new Admission();
   const body = bodyOfSize(organisations, 8);
   for (const o of body.organisations) {
@@ -156,7 +159,7 @@
   return admission;
 }
 
-/** Bytes of a group's messages in one coordinator round and one switch. */
+/** Bytes of a group's messages in one placement round and one switch. */
 export function switchBytes(
   ranks: number,
   layers: number,
@@ -188,22 +191,23 @@
     incarnation: reply.incarnation,
     knownMapIds: [map.id],
   };
-  const bytesOf = (data: object): number => Buffer.byteLength(JSON.stringify(data)) + HTTP_BYTES;
+  const bytesOf = (message: object): number =>
+    Buffer.byteLength(JSON.stringify(message)) + HTTP_OVERHEAD_BYTES;
   const promiseReply = bytesOf(reply);
   const prepare = bytesOf({ ...order, map: packMap(map) });
-  const small = bytesOf({ ...reply, counts: undefined }) + bytesOf(order);
+  const smallExchange = bytesOf({ ...reply, counts: undefined }) + bytesOf(order);
   return {
     promiseReply,
     prepare,
     round: ranks * (promiseReply + bytesOf(order)),
-    change: ranks * (prepare + 3 * small),
+    change: ranks * (prepare + 3 * smallExchange),
   };
 }
 
-/** Headers of one trpc call and its answer, bytes (seen on the wire of the daemons: about this). */
-const HTTP_BYTES = 400;
+/** Approximate size of the HTTP headers of one tRPC call and its response between daemons, bytes. */
+const HTTP_OVERHEAD_BYTES = 400;
 
-function placementTime(layers: number): number {
+function measurePlacementMs(layers: number): number {
   const deployment = { ...NYUNGWE, ranks: 32, experts: 64, layers, slotsPerRank: 3 };
   const trace = makeTrace(deployment, 3);
   const start = packPlacement(trace.shares(0), 32, 3);
@@ -218,45 +222,52 @@
     horizonSteps: 12_000,
   };
   const drifted = trace.shares(400);
-  return timeMs(() => void planPlacement(start, drifted, policy), 3);
+  return meanTimeMs(() => void planPlacement(start, drifted, policy), 3);
 }
 
-/** All slopes of one process. */
+/** Measures all quantities of one process. */
 export function measureInProcess(): Slope[] {
   const sizes = [100, 600, 1700, 3400];
   return [
-    slope('configuration held, by organisations', 'KB', sizes, (n) =>
-      heldKb(() => storeWith(bodyOfSize(n, 600))),
+    measureSlope('memory of the configuration, by organisations', 'KB', sizes, (n) =>
+      retainedKb(() => buildFeedStore(bodyOfSize(n, 600))),
     ),
-    slope(
-      'configuration text, by organisations',
+    measureSlope(
+      'size of the configuration as JSON, by organisations',
       'KB',
       sizes,
-      (n) => JSON.stringify(documentOf(bodyOfSize(n, 600))).length / 1000,
+      (n) => JSON.stringify(toDocument(bodyOfSize(n, 600))).length / 1000,
     ),
-    slope('judging a document, by organisations', 'ms', sizes, (n) => {
-      const doc = documentOf(bodyOfSize(n, 600));
-      return timeMs(() => void judgeDocument(doc), 10);
+    measureSlope('validating a document, by organisations', 'ms', sizes, (n) => {
+      const doc = toDocument(bodyOfSize(n, 600));
+      return meanTimeMs(() => void judgeDocument(doc), 10);
     }),
-    slope('one changed organisation passed on, by organisations', 'KB', sizes, deltaKb),
-    slope('finding what changed, by organisations', 'ms', sizes, (n) => {
-      const [before, after] = twoDocuments(n);
-      return timeMs(() => void diffConfig(before, after), 10);
+    measureSlope('delta of one changed organisation, by organisations', 'KB', sizes, deltaKb),
+    measureSlope('computing a delta, by organisations', 'ms', sizes, (n) => {
+      const [before, after] = successiveDocuments(n);
+      return meanTimeMs(() => void diffConfig(before, after), 10);
     }),
-    slope('list held and indexed, by instances', 'KB', [64, 250, 1010], (n) =>
-      heldKb(() => buildInstanceView(listOf(Math.floor(n * 0.4), Math.ceil(n * 0.6)))),
+    measureSlope('memory of the indexed instance list, by instances', 'KB', [64, 250, 1010], (n) =>
+      retainedKb(() => buildInstanceView(instanceList(Math.floor(n * 0.4), Math.ceil(n * 0.6)))),
     ),
-    slope(
-      'list text, by instances',
+    measureSlope(
+      'size of the instance list as JSON, by instances',
       'KB',
       [64, 250, 1010],
-      (n) => JSON.stringify(listOf(Math.floor(n * 0.4), Math.ceil(n * 0.6))).length / 1000,
+      (n) => JSON.stringify(instanceList(Math.floor(n * 0.4), Math.ceil(n * 0.6))).length / 1000,
     ),
-    slope('indexing a list, by instances', 'ms', [64, 250, 1010], (n) => {
-      const list = listOf(Math.floor(n * 0.4), Math.ceil(n * 0.6));
-      return timeMs(() => void buildInstanceView(list), 10);
+    measureSlope('indexing the instance list, by instances', 'ms', [64, 250, 1010], (n) => {
+      const list = instanceList(Math.floor(n * 0.4), Math.ceil(n * 0.6));
+      return meanTimeMs(() => void buildInstanceView(list), 10);
     }),
-    slope('admission held, by organisations', 'KB', sizes, (n) => heldKb(() => admissionWith(n))),
-    slope('one placement of 32 ranks and 64 experts, by layers', 'ms', [8, 30, 60], placementTime),
+    measureSlope('memory of admission control, by organisations', 'KB', sizes, (n) =>
+      retainedKb(() => buildAdmission(n)),
+    ),
+    measureSlope(
+      'one placement of 32 ranks and 64 experts, by layers',
+      'ms',
+      [8, 30, 60],
+      measurePlacementMs,
+    ),
   ];
 }
--- a/bench/capacity/processes.ts
+++ b/bench/capacity/processes.ts
@@ -1,16 +1,16 @@
-/** Slopes of the control plane's processor time and bytes, from idle daemons of several numbers. */
+/** Measures CPU time and network bytes of the control plane in fleets of idle daemons. */
 import { execFileSync } from 'node:child_process';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Cluster, median, readMetric, residentMb, type Member } from '../harness/index.js';
 
-/** What one daemon costs while nobody asks anything. */
+/** Cost of one idle daemon. */
 export interface DaemonCost {
   readonly cpuPercent: number;
   readonly bytesPerSecond: number;
   readonly residentMb: number;
 }
 
-/** Costs at one number of daemons in one data centre. */
+/** Costs of a fleet in one data centre: the median daemon of each role, and the platform calls. */
 export interface FleetCost {
   readonly daemons: number;
   readonly relay: DaemonCost;
@@ -22,14 +22,14 @@
   readonly changeMs: number;
 }
 
-const WATCH_SECONDS = 10;
+const MEASURE_SECONDS = 10;
 
-interface Reading {
+interface CounterReading {
   readonly cpuUs: number;
   readonly bytes: number;
 }
 
-async function read(member: Member): Promise<Reading> {
+async function readCounters(member: Member): Promise<CounterReading> {
   const [cpuUs, bytes] = await Promise.all([
     readMetric(member, 'cpu_us'),
     readMetric(member, 'socket_bytes'),
@@ -45,7 +45,7 @@
   };
 }
 
-async function timeOfChange(cluster: Cluster): Promise<number> {
+async function measureChangeMs(cluster: Cluster): Promise<number> {
   const doc = await cluster.publish(cluster.doc?.body ?? cluster.freshBody());
   const start = Date.now();
   for (;;) {
@@ -56,7 +56,7 @@
   }
 }
 
-/** Starts so many daemons, a quarter of them entries, and watches them idle. */
+/** Starts a fleet, a quarter of it entries and the rest agents, and measures it while idle. */
 export async function measureFleet(daemons: number): Promise<FleetCost> {
   const entries = Math.max(1, Math.floor(daemons / 4));
   const cluster = await Cluster.start({
@@ -65,20 +65,20 @@
     servicesPerCentre: 0,
     ranksPerCentre: daemons - entries,
     organisations: [{ id: 'o', weight: 1, tokensPerSecond: 1000 }],
-    // The intervals that ship; readings of the status must not count as control.
+    // The default intervals; status reads must not count as control plane traffic.
     timing: { watchMs: 25_000, fallbackMs: 2000, startMs: 300, groupMs: 2000 },
   });
   try {
     await sleep(3000);
     const callsBefore = await cluster.platformCalls();
-    const before = await Promise.all(cluster.members.map(read));
-    await sleep(WATCH_SECONDS * 1000);
-    const after = await Promise.all(cluster.members.map(read));
+    const before = await Promise.all(cluster.members.map(readCounters));
+    await sleep(MEASURE_SECONDS * 1000);
+    const after = await Promise.all(cluster.members.map(readCounters));
     const calls = (await cluster.platformCalls()) - callsBefore;
     const counters = await Promise.all(cluster.members.map((m) => cluster.counters(m)));
     const costs = cluster.members.map((m, i) => ({
-      cpuPercent: ((after[i]?.cpuUs ?? 0) - (before[i]?.cpuUs ?? 0)) / WATCH_SECONDS / 10_000,
-      bytesPerSecond: ((after[i]?.bytes ?? 0) - (before[i]?.bytes ?? 0)) / WATCH_SECONDS,
+      cpuPercent: ((after[i]?.cpuUs ?? 0) - (before[i]?.cpuUs ?? 0)) / MEASURE_SECONDS / 10_000,
+      bytesPerSecond: ((after[i]?.bytes ?? 0) - (before[i]?.bytes ?? 0)) / MEASURE_SECONDS,
       residentMb: residentMb(m.process.pid),
     }));
     const pick = (test: (m: Member, c: Record<string, number>) => boolean): DaemonCost =>
@@ -93,16 +93,16 @@
       entry: pick((m, c) => m.role === 'entry' && !isRelay(c)),
       agent: pick((m, c) => m.role === 'agent' && !isRelay(c) && !isCoordinator(c)),
       coordinator: pick((_, c) => isCoordinator(c)),
-      platformCallsPerSecond: calls / WATCH_SECONDS,
+      platformCallsPerSecond: calls / MEASURE_SECONDS,
       platformCallsAtStart: callsBefore,
-      changeMs: await timeOfChange(cluster),
+      changeMs: await measureChangeMs(cluster),
     };
   } finally {
     await cluster.stop();
   }
 }
 
-/** Resident memory of an idle runtime, bare and with the daemon's libraries loaded, MB. */
+/** Resident memory of an idle Node process, bare and with the daemon's libraries loaded, MB. */
 export function measureRuntime(): { bareMb: number; librariesMb: number; smallHeapMb: number } {
   const script =
     'setTimeout(() => { console.log(process.memoryUsage().rss / 1e6); process.exit(0); }, 500);';
