--- a/bench/capacity/in-process.ts
+++ b/bench/capacity/in-process.ts
@@ -7,7 +7,7 @@
   diffConfig,
   EMPTY_BODY,
   FeedStore,
-  judgeDocument,
+  checkDocument,
   keyHash,
 } from '../../src/core/config-feed/index.js';
 import { packMap, type ExpertMap } from '../../src/core/groups/index.js';
@@ -26,14 +26,14 @@
 import type { InstanceList } from '../../src/generated/instances.types.js';
 import type { RankReply } from '../../src/generated/messages.types.js';
 import { makeTrace, NYUNGWE } from '../decisions/traces.js';
-import { fitLine, type Fit } from '../harness/index.js';
+import { fitLine, type LinearFit } from '../harness/index.js';
 
 /** A quantity measured at several sizes, with a linear fit. */
 export interface Slope {
   readonly name: string;
   readonly unit: string;
   readonly points: readonly (readonly [number, number])[];
-  readonly fit: Fit;
+  readonly fit: LinearFit;
 }
 
 /** A configuration body with the given number of organisations and endpoints. */
@@ -240,7 +240,7 @@
     ),
     measureSlope('validating a document, by organisations', 'ms', sizes, (n) => {
       const doc = toDocument(bodyOfSize(n, 600));
-      return meanTimeMs(() => void judgeDocument(doc), 10);
+      return meanTimeMs(() => void checkDocument(doc), 10);
     }),
     measureSlope('delta of one changed organisation, by organisations', 'KB', sizes, deltaKb),
     measureSlope('computing a delta, by organisations', 'ms', sizes, (n) => {
--- a/bench/capacity/main.ts
+++ b/bench/capacity/main.ts
@@ -18,7 +18,7 @@
   const formattedPoints = s.points.map(([x, y]) => `${x}: ${formatNumber(y)}`).join(', ');
   const worst = Math.max(...s.fit.residuals.map(Math.abs));
   printLine(
-    `  ${s.name}: ${formattedPoints} ${s.unit}; slope ${s.fit.slope.toExponential(2)} ${s.unit} per unit of size, base ${formatNumber(s.fit.base)}, worst residual ${formatNumber(worst)}`,
+    `  ${s.name}: ${formattedPoints} ${s.unit}; slope ${s.fit.slope.toExponential(2)} ${s.unit} per unit of size, base ${formatNumber(s.fit.intercept)}, worst residual ${formatNumber(worst)}`,
   );
 }
 
@@ -75,11 +75,11 @@
         .filter((f) => Number.isFinite(f[role][field]))
         .map((f) => [f.daemons, f[role][field]] as const),
     );
-    const predicted = fit.base + fit.slope * CHECK_SIZE;
+    const predicted = fit.intercept + fit.slope * CHECK_SIZE;
     return {
       role,
       field,
-      base: fit.base,
+      base: fit.intercept,
       slope: fit.slope,
       residuals: fit.residuals,
       predicted,
--- a/bench/capacity/processes.ts
+++ b/bench/capacity/processes.ts
@@ -46,7 +46,9 @@
 }
 
 async function measureChangeMs(cluster: Cluster): Promise<number> {
-  const doc = await cluster.publish(cluster.doc?.body ?? cluster.freshBody());
+  const doc = await cluster.publish(
+    cluster.publishedDocument?.body ?? cluster.initialConfiguration(),
+  );
   const start = Date.now();
   for (;;) {
     const all = await Promise.all(cluster.members.map((m) => cluster.status(m)));
@@ -61,9 +63,9 @@
   const entries = Math.max(1, Math.floor(daemons / 4));
   const cluster = await Cluster.start({
     dataCentres: ['dc-a'],
-    entriesPerCentre: entries,
-    servicesPerCentre: 0,
-    ranksPerCentre: daemons - entries,
+    entriesPerDataCentre: entries,
+    servicesPerDataCentre: 0,
+    ranksPerDataCentre: daemons - entries,
     organisations: [{ id: 'o', weight: 1, tokensPerSecond: 1000 }],
     // The default intervals; status reads must not count as control plane traffic.
     timing: { watchMs: 25_000, fallbackMs: 2000, startMs: 300, groupMs: 2000 },
--- a/bench/decisions/limit-bench.ts
+++ b/bench/decisions/limit-bench.ts
@@ -1,5 +1,5 @@
 /** Compares policies that divide the rate limits of endpoints among all entries. */
-import { LIMIT_WAYS, playLimit, type LimitPlay } from './limit-model.js';
+import { LIMIT_POLICIES, simulateLimit, type LimitScenario } from './limit-model.js';
 
 const ENTRIES = [6, 42, 100];
 const LIMITS_PER_S = [1, 4, 20];
@@ -15,7 +15,7 @@
   even: { load: 2 },
   uneven: { load: 2, firstShare: 0.5 },
   waves: { load: 6, waveS: 15 },
-} as const satisfies Record<string, Partial<LimitPlay>>;
+} as const satisfies Record<string, Partial<LimitScenario>>;
 
 /** Result of one policy in one case: the maximum in 4 s over all seeds and the mean share used. */
 export interface LimitResult {
@@ -33,7 +33,7 @@
   return ENTRIES.flatMap((entries) =>
     LIMITS_PER_S.flatMap((limitPerS) =>
       Object.entries(CALLER_PATTERNS).flatMap(([callers, pattern]) =>
-        Object.entries(LIMIT_WAYS).map(([way, policy]) => {
+        Object.entries(LIMIT_POLICIES).map(([way, policy]) => {
           const scenario = {
             entries,
             limitPerS,
@@ -41,9 +41,9 @@
             seconds: SECONDS,
             ...pattern,
           };
-          const outcomes = SEEDS.map((seed) => playLimit({ seed, ...scenario }, policy));
-          const used = outcomes.reduce((sum, one) => sum + one.used, 0) / SEEDS.length;
-          const most = Math.max(...outcomes.map((one) => one.most));
+          const outcomes = SEEDS.map((seed) => simulateLimit({ seed, ...scenario }, policy));
+          const used = outcomes.reduce((sum, one) => sum + one.usedShare, 0) / SEEDS.length;
+          const most = Math.max(...outcomes.map((one) => one.maxInWindow));
           return { way, entries, limitPerS, callers, allowed: 6 * limitPerS + 5, most, used };
         }),
       ),
--- a/bench/decisions/limit-model.ts
+++ b/bench/decisions/limit-model.ts
@@ -9,7 +9,7 @@
 import { seededRandom } from '../../src/core/clock/index.js';
 
 /** Parameters of a simulation. */
-export interface LimitPlay {
+export interface LimitScenario {
   readonly seed: number;
   readonly entries: number;
   readonly endpoints: number;
@@ -34,9 +34,9 @@
 /** Result of a simulation. */
 export interface LimitOutcome {
   /** Maximum number of requests to one endpoint within 4 s that count towards the bound. */
-  readonly most: number;
+  readonly maxInWindow: number;
   /** Requests sent, as a share of the limits or of the requests that arrived, whichever is less. */
-  readonly used: number;
+  readonly usedShare: number;
 }
 
 /** Input to a policy: what one entry knows about one endpoint. */
@@ -54,7 +54,7 @@
 }
 
 /** Determines one entry's share of the limit of an endpoint. */
-export type LimitWay = (input: LimitPolicyInput) => LimitShare;
+export type LimitPolicy = (input: LimitPolicyInput) => LimitShare;
 
 const peersOf = ({ entry, entries, knownEntries, isIsolated }: LimitPolicyInput): LimitPeers =>
   isIsolated
@@ -62,7 +62,7 @@
     : { index: entry, count: knownEntries };
 
 /** The policies compared: equal shares, shares in proportion to traffic, and the one in use. */
-export const LIMIT_WAYS = {
+export const LIMIT_POLICIES = {
   'an equal share each': ({ limitPerS, entries }) => ({ perS: limitPerS / entries, saved: 1 }),
   'by what each carries': ({ limitPerS, trafficShare }) => ({
     perS: limitPerS * trafficShare,
@@ -74,7 +74,7 @@
       peers: peersOf(input),
       ringPosition: input.ringPosition,
     }),
-} as const satisfies Record<string, LimitWay>;
+} as const satisfies Record<string, LimitPolicy>;
 
 const WINDOW_MS = 4000;
 const STEP_MS = 10;
@@ -96,13 +96,13 @@
 }
 
 /** Share of requests that arrive at an entry. */
-function callerShare({ entries, firstShare }: LimitPlay, entry: number): number {
+function callerShare({ entries, firstShare }: LimitScenario, entry: number): number {
   if (firstShare === undefined || entries === 1) return 1 / entries;
   return entry === 0 ? firstShare : (1 - firstShare) / (entries - 1);
 }
 
 /** Number of entries known to an entry, including itself. */
-function countKnownEntries({ entries, unseen = 0 }: LimitPlay, entry: number): number {
+function countKnownEntries({ entries, unseen = 0 }: LimitScenario, entry: number): number {
   const hasPartialView = entry % 2 === 1 && entry < entries - unseen;
   return hasPartialView ? entries - unseen : entries;
 }
@@ -111,7 +111,7 @@
  * Simulates one policy.
  * @example simulateLimit({ seed: 1, entries: 42, endpoints: 3, limitPerS: 4, load: 2, seconds: 60 }, policy)
  */
-export function playLimit(scenario: LimitPlay, policy: LimitWay): LimitOutcome {
+export function simulateLimit(scenario: LimitScenario, policy: LimitPolicy): LimitOutcome {
   const { entries, endpoints, limitPerS, load, waveS, seconds } = scenario;
   const random = seededRandom(scenario.seed);
   const buckets = Array.from({ length: entries }, () =>
@@ -157,5 +157,5 @@
     }
   }
   const attainable = Math.min(requested, endpoints * limitPerS * seconds);
-  return { most: Math.max(...sentAtMs.map(countMaxInWindow)), used: sent / attainable };
+  return { maxInWindow: Math.max(...sentAtMs.map(countMaxInWindow)), usedShare: sent / attainable };
 }
--- a/bench/harness/caller.ts
+++ b/bench/harness/caller.ts
@@ -7,7 +7,7 @@
 export type RequestOutcome = 'answered' | 'not-run' | 'unknown' | 'broken';
 
 /** One request to an entry, and its result. */
-export interface Ask {
+export interface RequestResult {
   readonly kind: 'chat' | 'chat-whole' | 'once' | 'many';
   /** Marker in the prompt or body that the response repeats; each model request has its own. */
   readonly nonce: string;
@@ -18,7 +18,7 @@
   outcome: RequestOutcome;
   reason: string;
   /** Whether the response contained everything that was requested. */
-  whole: boolean;
+  isComplete: boolean;
   /** Whether the response contained content of another request. */
   hasForeignContent: boolean;
 }
@@ -33,14 +33,14 @@
 
 const RESPONSE_TIMEOUT_MS = 20_000;
 
-function verifyTokens(result: Ask, text: string, tokens: number): void {
+function verifyTokens(result: RequestResult, text: string, tokens: number): void {
   const received = text.split(' ').filter((p) => p !== '');
   result.hasForeignContent = received.some((p) => !p.startsWith(`${result.nonce}:`));
-  result.whole =
+  result.isComplete =
     received.length === tokens && received.every((p, i) => p === `${result.nonce}:${i}`);
 }
 
-async function readProblem(result: Ask, res: Dispatcher.ResponseData): Promise<void> {
+async function readProblem(result: RequestResult, res: Dispatcher.ResponseData): Promise<void> {
   const problem = (await res.body.json()) as { outcome?: string; reason?: string };
   result.outcome = problem.outcome === 'not-run' ? 'not-run' : 'unknown';
   result.reason = problem.reason ?? String(res.statusCode);
@@ -50,7 +50,7 @@
 const DONE_MARKER = '[DONE]';
 
 async function readStream(
-  result: Ask,
+  result: RequestResult,
   res: Dispatcher.ResponseData,
   tokens: number,
 ): Promise<void> {
@@ -72,7 +72,11 @@
   return chunk.choices[0]?.delta.content ?? '';
 }
 
-async function requestChat(result: Ask, stream: boolean, options: RequestOptions): Promise<void> {
+async function requestChat(
+  result: RequestResult,
+  stream: boolean,
+  options: RequestOptions,
+): Promise<void> {
   const tokens = options.tokens ?? 16;
   const content = `${options.prompt ?? 'Passenger summary.'} nonce=${result.nonce}`;
   const res = await request(`http://127.0.0.1:${result.port}/v1/chat/completions`, {
@@ -95,7 +99,7 @@
   verifyTokens(result, data.choices[0]?.message.content ?? '', tokens);
 }
 
-async function requestService(result: Ask, options: RequestOptions): Promise<void> {
+async function requestService(result: RequestResult, options: RequestOptions): Promise<void> {
   const isPost = result.kind === 'once';
   const path = isPost
     ? `/services/${SERVICE}/bags`
@@ -112,10 +116,10 @@
   const data = (await res.body.json()) as { nonce: string };
   result.outcome = 'answered';
   result.hasForeignContent = data.nonce !== result.nonce;
-  result.whole = !result.hasForeignContent;
+  result.isComplete = !result.hasForeignContent;
 }
 
-function requestHeaders(result: Ask, options: RequestOptions): Record<string, string> {
+function requestHeaders(result: RequestResult, options: RequestOptions): Record<string, string> {
   return {
     authorization: `Bearer ${testKey(result.organisation)}`,
     'content-type': 'application/json',
@@ -124,17 +128,17 @@
 }
 
 /** Sends one request and records its result; never throws. */
-export async function askOnce(
-  target: Pick<Ask, 'kind' | 'nonce' | 'organisation' | 'port'>,
+export async function sendRequest(
+  target: Pick<RequestResult, 'kind' | 'nonce' | 'organisation' | 'port'>,
   options: RequestOptions = {},
-): Promise<Ask> {
-  const result: Ask = {
+): Promise<RequestResult> {
+  const result: RequestResult = {
     ...target,
     startMs: Date.now(),
     endMs: 0,
     outcome: 'broken',
     reason: '',
-    whole: false,
+    isComplete: false,
     hasForeignContent: false,
   };
   try {
--- a/bench/harness/cluster-spec.ts
+++ b/bench/harness/cluster-spec.ts
@@ -17,10 +17,10 @@
 /** Processes to start, and their settings. */
 export interface ClusterSpec {
   readonly dataCentres: readonly string[];
-  readonly entriesPerCentre: number;
-  readonly servicesPerCentre: number;
+  readonly entriesPerDataCentre: number;
+  readonly servicesPerDataCentre: number;
   /** Ranks of the model group in each data centre, which has one group. */
-  readonly ranksPerCentre: number;
+  readonly ranksPerDataCentre: number;
   readonly group?: Partial<GroupOptions>;
   readonly organisations: readonly OrganisationSpec[];
   readonly policy?: Partial<ConfigurationBody['policy']>;
@@ -66,7 +66,7 @@
     endpoints: engines.filter((e) => e.startsWith(`${dataCentre}-`)),
     layers: spec.group?.layers ?? DEFAULT_LAYERS,
     experts,
-    slotsPerRank: Math.ceil(experts / Math.max(1, spec.ranksPerCentre)) + 1,
+    slotsPerRank: Math.ceil(experts / Math.max(1, spec.ranksPerDataCentre)) + 1,
     expertBytes: 1_000_000,
   };
 }
--- a/bench/harness/cluster.ts
+++ b/bench/harness/cluster.ts
@@ -13,9 +13,9 @@
 import type { InstanceRecord } from '../../src/generated/instances.types.js';
 import type { Settings } from '../../src/generated/settings.types.js';
 import {
-  endProcess,
+  killProcess,
   parseJsonLine,
-  readyPorts,
+  parseDaemonPorts,
   signalProcess,
   startProcess,
   type DaemonPorts,
@@ -39,7 +39,7 @@
   readonly members: Member[] = [];
   readonly engines: { endpoint: string; url: string; process: SpawnedProcess }[] = [];
   readonly services: { endpoint: string; url: string; process: SpawnedProcess }[] = [];
-  doc: ConfigurationDocument | undefined;
+  publishedDocument: ConfigurationDocument | undefined;
   private platform: SpawnedProcess | undefined;
   private platformUrl = '';
   private readonly leaving = new Set<string>();
@@ -76,8 +76,11 @@
 
   /** Publishes a configuration. */
   async publish(body: ConfigurationBody, basedOn?: number): Promise<ConfigurationDocument> {
-    this.doc = (await this.postControl('publish', { body, basedOn })) as ConfigurationDocument;
-    return this.doc;
+    this.publishedDocument = (await this.postControl('publish', {
+      body,
+      basedOn,
+    })) as ConfigurationDocument;
+    return this.publishedDocument;
   }
 
   async setPlatformMode(mode: PlatformMode): Promise<void> {
@@ -133,7 +136,7 @@
   /** Kills a daemon and starts a new incarnation under the same name. */
   async restart(name: string): Promise<void> {
     const member = this.member(name);
-    await endProcess(member.process);
+    await killProcess(member.process);
     await this.startDaemon(member);
     await this.publishList();
   }
@@ -198,12 +201,12 @@
       ...this.services.map((s) => s.process),
     ];
     if (this.platform) processes.push(this.platform);
-    await Promise.all([...new Set(processes)].map(endProcess));
+    await Promise.all([...new Set(processes)].map(killProcess));
     rmSync(this.settingsDir, { recursive: true, force: true });
   }
 
   /** First configuration of the cluster. */
-  freshBody(): ConfigurationBody {
+  initialConfiguration(): ConfigurationBody {
     return initialConfiguration(
       this.spec,
       this.engines.map((e) => e.endpoint),
@@ -222,11 +225,11 @@
     this.platform = platform.process;
     this.platformUrl = platform.value.url;
     await Promise.all(spec.dataCentres.map((dc) => this.startEndpoints(dc)));
-    await this.publish(this.freshBody(), 0);
+    await this.publish(this.initialConfiguration(), 0);
     const daemonStarts = [
       ...this.engines.map((e) => this.addMember(`${e.endpoint}-agent`, 'agent', e.endpoint, e.url)),
       ...spec.dataCentres.flatMap((dc) =>
-        Array.from({ length: spec.entriesPerCentre }, (_, i) =>
+        Array.from({ length: spec.entriesPerDataCentre }, (_, i) =>
           this.addMember(`${dc}-entry-${i + 1}`, 'entry', undefined, undefined),
         ),
       ),
@@ -238,7 +241,7 @@
 
   private async startEndpoints(dc: string): Promise<void> {
     const { spec } = this;
-    const options = JSON.stringify({ ...spec.group, ranks: spec.ranksPerCentre });
+    const options = JSON.stringify({ ...spec.group, ranks: spec.ranksPerDataCentre });
     const group = await startProcess(
       `${dc}-engines`,
       'fakes/model-engine/main.js',
@@ -248,7 +251,7 @@
     group.value.urls.forEach((url, i) =>
       this.engines.push({ endpoint: `${dc}-model-${i + 1}`, url, process: group.process }),
     );
-    for (let i = 0; i < spec.servicesPerCentre; i += 1) {
+    for (let i = 0; i < spec.servicesPerDataCentre; i += 1) {
       const service = await startProcess(
         `${dc}-service`,
         'fakes/service-engine/main.js',
@@ -317,7 +320,7 @@
       member.name,
       'src/daemon/main.js',
       ['--settings', file],
-      readyPorts,
+      parseDaemonPorts,
     );
     member.process = started.process;
     member.ports = started.value;
--- a/bench/harness/kill-on-exit.ts
+++ b/bench/harness/kill-on-exit.ts
@@ -24,7 +24,7 @@
  * Kills a child process when this process exits.
  * @example killOnExit(spawn(process.execPath, [script]));
  */
-export function endWithUs(child: ChildProcess): void {
+export function killOnExit(child: ChildProcess): void {
   installExitHandlers();
   children.add(child);
   child.once('exit', () => children.delete(child));
--- a/bench/harness/measure.ts
+++ b/bench/harness/measure.ts
@@ -21,8 +21,8 @@
 }
 
 /** A line fitted to points, and the residual at each point. */
-export interface Fit {
-  readonly base: number;
+export interface LinearFit {
+  readonly intercept: number;
   readonly slope: number;
   readonly residuals: readonly number[];
 }
@@ -31,7 +31,7 @@
  * Fits a line by least squares.
  * @example fitLine([[1, 2], [2, 4]]).slope // 2
  */
-export function fitLine(points: readonly (readonly [number, number])[]): Fit {
+export function fitLine(points: readonly (readonly [number, number])[]): LinearFit {
   const n = points.length;
   const meanX = points.reduce((s, [x]) => s + x, 0) / n;
   const meanY = points.reduce((s, [, y]) => s + y, 0) / n;
@@ -39,7 +39,7 @@
   const slope =
     sxx === 0 ? 0 : points.reduce((s, [x, y]) => s + (x - meanX) * (y - meanY), 0) / sxx;
   const base = meanY - slope * meanX;
-  return { base, slope, residuals: points.map(([x, y]) => y - (base + slope * x)) };
+  return { intercept: base, slope, residuals: points.map(([x, y]) => y - (base + slope * x)) };
 }
 
 /** Median; the upper one of the two middle values if their number is even. */
--- a/bench/harness/processes.ts
+++ b/bench/harness/processes.ts
@@ -1,7 +1,7 @@
 /** Starts compiled scripts of the repository as child processes; signals and kills only these. */
 import { spawn, type ChildProcessWithoutNullStreams } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
-import { endWithUs } from './kill-on-exit.js';
+import { killOnExit } from './kill-on-exit.js';
 
 const ROOT = fileURLToPath(new URL('../../', import.meta.url));
 const MAX_OUTPUT_LINES = 400;
@@ -41,7 +41,7 @@
   parseReady: (line: string) => T | undefined,
 ): Promise<{ process: SpawnedProcess; value: T }> {
   const child = spawn(process.execPath, [`${ROOT}${script}`, ...args], { stdio: 'pipe' });
-  endWithUs(child);
+  killOnExit(child);
   const exited = new Promise<number | null>((resolve) =>
     child.once('exit', (code) => resolve(code)),
   );
@@ -92,7 +92,7 @@
 }
 
 /** Parses the ports from a `daemon.started` log line; undefined for any other line. */
-export function readyPorts(line: string): DaemonPorts | undefined {
+export function parseDaemonPorts(line: string): DaemonPorts | undefined {
   if (logField(line, 'event') !== 'daemon.started') return undefined;
   const port = (key: string): number => Number(logField(line, key) ?? 0);
   return { callers: port('callers'), daemons: port('daemons'), operators: port('operators') };
@@ -104,7 +104,7 @@
 }
 
 /** Kills a process and waits for its exit. */
-export async function endProcess(spawned: SpawnedProcess): Promise<void> {
+export async function killProcess(spawned: SpawnedProcess): Promise<void> {
   // A process stopped by SIGSTOP handles no further signal until it continues.
   signalProcess(spawned, 'SIGCONT');
   signalProcess(spawned, 'SIGKILL');
--- a/bench/soak/backpressure-check.ts
+++ b/bench/soak/backpressure-check.ts
@@ -1,7 +1,7 @@
 /**
  * Checks from the requests that reached endpoints whether entries followed backpressure signals.
  */
-import type { EndpointArrival, EndpointAsked } from '../../fakes/platform-engine/index.js';
+import type { EndpointArrival, EndpointSignal } from '../../fakes/platform-engine/index.js';
 import type { Disturbance, SoakRecord } from './record.js';
 
 /** Time after a response in which requests already in flight may still arrive, ms. */
@@ -54,30 +54,30 @@
  */
 function checkBackoffs(
   index: RecordIndex,
-  signals: readonly EndpointAsked[],
+  signals: readonly EndpointSignal[],
   arrivals: readonly EndpointArrival[],
 ): string[] {
   return signals.flatMap((backoff) => {
-    if (backoff.restMs === undefined) return [];
+    if (backoff.retryAfterMs === undefined) return [];
     const entry = index.entryOf(backoff);
-    const untilMs = backoff.atMs + backoff.restMs;
+    const untilMs = backoff.atMs + backoff.retryAfterMs;
     const late = arrivals.filter(
       (a) => a.atMs > backoff.atMs + IN_FLIGHT_MS && a.atMs < untilMs && index.entryOf(a) === entry,
     );
     if (late.length <= MAX_DURING_BACKOFF) return [];
     if (index.wasDisturbed(entry, backoff.endpoint, backoff.atMs, untilMs)) return [];
     return [
-      `${backoff.endpoint}: asked ${entry} for ${backoff.restMs} ms of backoff at ${Math.round(backoff.atMs)} ms, got ${late.length} requests during it`,
+      `${backoff.endpoint}: asked ${entry} for ${backoff.retryAfterMs} ms of backoff at ${Math.round(backoff.atMs)} ms, got ${late.length} requests during it`,
     ];
   });
 }
 
 function checkLeaving(
   index: RecordIndex,
-  signals: readonly EndpointAsked[],
+  signals: readonly EndpointSignal[],
   arrivals: readonly EndpointArrival[],
 ): string[] {
-  const firstNotices = new Map<string, EndpointAsked>();
+  const firstNotices = new Map<string, EndpointSignal>();
   for (const a of signals) {
     const entry = index.entryOf(a);
     if (a.isLeaving && !firstNotices.has(entry)) firstNotices.set(entry, a);
@@ -95,7 +95,7 @@
 
 function checkRateLimits(
   index: RecordIndex,
-  signals: readonly EndpointAsked[],
+  signals: readonly EndpointSignal[],
   arrivals: readonly EndpointArrival[],
 ): string[] {
   const endpoint = signals[0]?.endpoint;
--- a/bench/soak/backpressure.ts
+++ b/bench/soak/backpressure.ts
@@ -4,7 +4,7 @@
  * stopped, suspended and cut off from the store.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { NO_ASKS, type EngineAsks } from '../../fakes/platform-engine/index.js';
+import { NO_BACKPRESSURE, type EndpointBackpressure } from '../../fakes/platform-engine/index.js';
 import type { Deployment, SoakEndpoint } from './deployment.js';
 import { disturbEntry, nextLeavingCandidate, pick } from './faults.js';
 
@@ -37,11 +37,11 @@
 /** Sets signals on endpoints for `forMs`, then clears them. */
 async function signalDuring(
   endpoints: readonly SoakEndpoint[],
-  signals: Partial<EngineAsks>,
+  signals: Partial<EndpointBackpressure>,
   forMs: number,
 ): Promise<void> {
   const cleared = Object.fromEntries(
-    Object.keys(signals).map((name) => [name, NO_ASKS[name as keyof EngineAsks]]),
+    Object.keys(signals).map((name) => [name, NO_BACKPRESSURE[name as keyof EndpointBackpressure]]),
   );
   for (const endpoint of endpoints) endpoint.signals = { ...endpoint.signals, ...signals };
   await sleep(forMs);
@@ -73,7 +73,10 @@
   untilMs: number,
 ): Promise<void> {
   while (deployment.nowMs() < untilMs) {
-    const signals = { restS: pick(BACKOFFS_S, random), restShare: pick(REJECTED_SHARES, random) };
+    const signals = {
+      retryAfterS: pick(BACKOFFS_S, random),
+      rejectedShare: pick(REJECTED_SHARES, random),
+    };
     await signalDuring(
       pickEndpoints(deployment, random),
       signals,
--- a/bench/soak/check.ts
+++ b/bench/soak/check.ts
@@ -3,7 +3,7 @@
  * violations as text; a run is clean if there are none.
  */
 import { checkBackpressure } from './backpressure-check.js';
-import { eventData, plainAnswer, STREAM_EVENTS } from '../../fakes/platform-engine/index.js';
+import { eventData, completeAnswer, STREAM_EVENTS } from '../../fakes/platform-engine/index.js';
 import type { CallerRequest, Disturbance, SoakRecord } from './record.js';
 
 /** Statuses that guarantee that a request has not run and never will. */
@@ -64,7 +64,7 @@
       return isExpectedStream(request, body, isComplete)
         ? []
         : [`${request.id}: not its own stream`];
-    if (isComplete && body !== plainAnswer(request.id))
+    if (isComplete && body !== completeAnswer(request.id))
       return [`${request.id}: not its own answer`];
     return [];
   });
--- a/bench/soak/copies.ts
+++ b/bench/soak/copies.ts
@@ -4,7 +4,7 @@
  * Around each restore a route and a key are removed and endpoints leave.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { StoreCopy, StoreFake } from '../../fakes/store/index.js';
+import type { StoreSnapshot, FakeStore } from '../../fakes/store/index.js';
 import type { Deployment } from './deployment.js';
 import {
   addRoute,
@@ -32,8 +32,8 @@
  * Repeats the writes that a restore lost, except for keys written since. Revisions then exceed
  * those seen before the restore.
  */
-function rewrite(store: StoreFake, before: StoreCopy, copy: StoreCopy): void {
-  const current = store.copy().items;
+function rewrite(store: FakeStore, before: StoreSnapshot, copy: StoreSnapshot): void {
+  const current = store.snapshot().items;
   for (const key of current.keys()) if (!before.items.has(key)) store.remove(key);
   for (const [key, { value }] of before.items)
     if (current.get(key)?.value === copy.items.get(key)?.value) store.putRaw(key, value);
@@ -44,7 +44,7 @@
  */
 function disruptStoreLinks({ entries, agents }: Deployment, isSilent: boolean): void {
   for (const { storeLink } of [...entries, ...agents]) {
-    if (isSilent) storeLink.silence();
+    if (isSilent) storeLink.blackholeConnections();
     else storeLink.reset();
   }
 }
@@ -53,22 +53,26 @@
  * Takes the store down, restores it from a copy, and repeats the lost writes before or after the
  * daemons can reach it. An endpoint announces that it leaves in between.
  */
-function restoreFrom(deployment: Deployment, random: () => number, copy: StoreCopy): Promise<void> {
+function restoreFrom(
+  deployment: Deployment,
+  random: () => number,
+  copy: StoreSnapshot,
+): Promise<void> {
   const { store } = deployment;
   return recordDuring(deployment, 'store-copy', ['store'], async () => {
-    const before = store.copy();
+    const before = store.snapshot();
     const isReachableBeforeRewrite = random() < 0.5;
     const isSilent = random() < 0.5;
     disruptStoreLinks(deployment, isSilent);
-    store.mood = isSilent ? 'silent' : 'reset';
+    store.mode = isSilent ? 'silent' : 'reset';
     store.restore(copy);
     await sleep(OUTAGE_MS.min + (OUTAGE_MS.max - OUTAGE_MS.min) * random());
-    if (isReachableBeforeRewrite) store.mood = 'well';
+    if (isReachableBeforeRewrite) store.mode = 'well';
     await sleep(MAX_REWRITE_DELAY_MS * random());
     const leaving = nextLeavingCandidate(deployment);
     if (leaving) announceLeaving(deployment, leaving);
     rewrite(store, before, copy);
-    store.mood = 'well';
+    store.mode = 'well';
   });
 }
 
@@ -84,7 +88,7 @@
   while (deployment.nowMs() < untilMs) {
     const route = addRoute(deployment);
     await sleep(SETTLE_MS);
-    const copy = deployment.store.copy();
+    const copy = deployment.store.snapshot();
     removeRoute(deployment, route);
     removeKey(deployment);
     const leaving = nextLeavingCandidate(deployment);
--- a/bench/soak/deployment.ts
+++ b/bench/soak/deployment.ts
@@ -7,14 +7,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import {
-  NO_ASKS,
+  NO_BACKPRESSURE,
   startPlatformEngine,
   type EndpointFault,
-  type EngineAsks,
+  type EndpointBackpressure,
   type PlatformEngine,
 } from '../../fakes/platform-engine/index.js';
 import { RankGroup, WallTime } from '../../fakes/rank-engine/index.js';
-import { startStore, type StoreFake } from '../../fakes/store/index.js';
+import { startStore, type FakeStore } from '../../fakes/store/index.js';
 import { LoopbackProxy, type Address } from './proxy.js';
 import { Program } from './program.js';
 import type {
@@ -68,7 +68,7 @@
   /** Faults for its next requests, in order. */
   readonly faults: EndpointFault[];
   /** Backpressure signals in its responses. */
-  signals: EngineAsks;
+  signals: EndpointBackpressure;
 }
 
 /** A program and its link to the store. */
@@ -82,7 +82,7 @@
 /** A running deployment and the record of what happened to it. */
 export interface Deployment {
   readonly folder: string;
-  readonly store: StoreFake;
+  readonly store: FakeStore;
   readonly group: RankGroup;
   readonly endpoints: readonly SoakEndpoint[];
   readonly entries: readonly SoakInstance[];
@@ -258,7 +258,7 @@
       void proxy.simulateCrash(CRASH_DOWNTIME_MS);
       return true;
     };
-    const signalState: { signals: EngineAsks } = { signals: NO_ASKS };
+    const signalState: { signals: EndpointBackpressure } = { signals: NO_BACKPRESSURE };
     const engine = await startPlatformEngine({
       id,
       host: at,
@@ -266,9 +266,9 @@
       workMs: PLAIN_WORK_MS,
       rank,
       step: () => group.step,
-      fallsBy: crashesOn,
+      crashesOn,
       nextFault: () => faults.shift(),
-      asks: () => signalState.signals,
+      backpressure: () => signalState.signals,
       random,
       nowMs,
     });
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -1,7 +1,7 @@
 /** Scenario `faults`: overlapping series of random faults and planned operations. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { EndpointFault } from '../../fakes/platform-engine/index.js';
-import type { StoreMood } from '../../fakes/store/index.js';
+import type { StoreMode } from '../../fakes/store/index.js';
 import {
   STOP_GRACE_S,
   KEYS,
@@ -183,14 +183,14 @@
   });
 };
 
-const STORE_MOODS: readonly StoreMood[] = ['busy', 'reset', 'silent', 'no-json', 'half'];
+const STORE_MOODS: readonly StoreMode[] = ['busy', 'reset', 'silent', 'no-json', 'half'];
 
 const failStore: Fault = async (deps) => {
   const { store } = deps.deployment;
   await recordDuring(deps.deployment, 'store', ['store'], async () => {
-    store.mood = pick(STORE_MOODS, deps.random);
+    store.mode = pick(STORE_MOODS, deps.random);
     await sleep(300 + 3000 * deps.random());
-    store.mood = 'well';
+    store.mode = 'well';
   });
 };
 
--- a/bench/soak/program.ts
+++ b/bench/soak/program.ts
@@ -4,8 +4,8 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
-import { endWithUs } from '../harness/kill-on-exit.js';
-import { listensForSignals } from './signals.js';
+import { killOnExit } from '../harness/kill-on-exit.js';
+import { handlesSignals } from './signals.js';
 
 const MAIN = fileURLToPath(new URL('../../platform/main.js', import.meta.url));
 /** Heap limit of each process, MB; as in deploy/system.toml. */
@@ -54,7 +54,7 @@
     });
     child.stdout.pipe(log, { end: false });
     child.stderr.pipe(log, { end: false });
-    endWithUs(child);
+    killOnExit(child);
     this.child = child;
     this.expectedExit = undefined;
     this.exited = new Promise((resolve) => {
@@ -98,7 +98,7 @@
   /** Waits until the program's own code handles signals, up to the timeout. */
   private async untilSignalHandlersReady(): Promise<void> {
     const untilMs = performance.now() + SIGNAL_HANDLER_TIMEOUT_MS;
-    while (performance.now() < untilMs && !listensForSignals(this.child?.pid ?? 0))
+    while (performance.now() < untilMs && !handlesSignals(this.child?.pid ?? 0))
       await sleep(SIGNAL_HANDLER_POLL_MS);
   }
 
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -102,7 +102,7 @@
   }
 
   /** Makes every open connection unresponsive for good, without a reset; new ones work. */
-  silence(): void {
+  blackholeConnections(): void {
     for (const socket of this.sockets) this.silenced.add(socket);
   }
 
--- a/bench/soak/record.ts
+++ b/bench/soak/record.ts
@@ -3,8 +3,8 @@
  */
 import type {
   EndpointArrival,
-  EndpointAsked,
-  EndpointRun,
+  EndpointSignal,
+  EndpointExecution,
 } from '../../fakes/platform-engine/index.js';
 
 /** Kinds of request, as defined by their routes. */
@@ -75,11 +75,11 @@
 export interface SoakRecord {
   readonly seed: number;
   readonly requests: readonly CallerRequest[];
-  readonly runs: readonly EndpointRun[];
+  readonly runs: readonly EndpointExecution[];
   /** All requests that reached endpoints, whether run or not. */
   readonly arrivals: readonly EndpointArrival[];
   /** Responses in which endpoints sent backpressure signals. */
-  readonly signals: readonly EndpointAsked[];
+  readonly signals: readonly EndpointSignal[];
   readonly rateLimitPeriods: readonly RateLimitPeriod[];
   readonly disturbances: readonly Disturbance[];
   readonly removals: readonly Removal[];
--- a/bench/soak/signals.ts
+++ b/bench/soak/signals.ts
@@ -7,7 +7,7 @@
  * used for this: Node itself handles it from its start.
  * @example listensForSignals(child.pid)
  */
-export function listensForSignals(pid: number): boolean {
+export function handlesSignals(pid: number): boolean {
   let status: string;
   try {
     status = readFileSync(`/proc/${pid}/status`, 'utf8');
--- a/bench/soak/silence.ts
+++ b/bench/soak/silence.ts
@@ -39,7 +39,7 @@
   ];
   const targets = [...instances.map(({ name }) => name), ...endpoints.map(({ id }) => id)];
   return recordDuring(deployment, 'silence', targets, () => {
-    for (const link of links) link.silence();
+    for (const link of links) link.blackholeConnections();
   });
 }
 
--- a/fakes/platform-engine/engine.ts
+++ b/fakes/platform-engine/engine.ts
@@ -9,7 +9,7 @@
 import { serveRankCalls } from './rank-calls.js';
 
 /** A request that an endpoint started to execute. */
-export interface EndpointRun {
+export interface EndpointExecution {
   readonly endpoint: string;
   readonly requestId: string;
   readonly path: string;
@@ -26,20 +26,20 @@
 export type EndpointFault = 'full' | 'error' | 'cut' | 'crossed' | 'unsigned' | 'short';
 
 /** Backpressure that an endpoint signals in its answers. */
-export interface EngineAsks {
+export interface EndpointBackpressure {
   /** Value of Retry-After when it rejects a request for lack of capacity, s. */
-  readonly restS: number;
+  readonly retryAfterS: number;
   /** Share of requests rejected with Retry-After. */
-  readonly restShare: number;
+  readonly rejectedShare: number;
   readonly isLeaving: boolean;
   /** Requests per second accepted from all entries together; undefined if unlimited. */
   readonly limitPerS: number | undefined;
 }
 
 /** No backpressure signals. */
-export const NO_ASKS: EngineAsks = {
-  restS: 0,
-  restShare: 0,
+export const NO_BACKPRESSURE: EndpointBackpressure = {
+  retryAfterS: 0,
+  rejectedShare: 0,
   isLeaving: false,
   limitPerS: undefined,
 };
@@ -52,9 +52,9 @@
 }
 
 /** An answer that carried a backpressure signal. */
-export interface EndpointAsked extends EndpointArrival {
+export interface EndpointSignal extends EndpointArrival {
   /** Retry-After of the answer, ms. */
-  readonly restMs: number | undefined;
+  readonly retryAfterMs: number | undefined;
   readonly isLeaving: boolean;
   readonly limitPerS: number | undefined;
 }
@@ -71,19 +71,19 @@
   /** The latest step started by its group. */
   readonly step: () => number;
   /** Called for each request that starts to execute; true if the request crashes the endpoint. */
-  readonly fallsBy?: (path: string) => boolean;
+  readonly crashesOn?: (path: string) => boolean;
   /** Fault to apply to the next request; undefined for none. */
   readonly nextFault: () => EndpointFault | undefined;
-  readonly asks?: () => EngineAsks;
+  readonly backpressure?: () => EndpointBackpressure;
   readonly random?: () => number;
   readonly nowMs: () => number;
 }
 
 /** A running fake endpoint and its records. */
 export interface PlatformEngine {
-  readonly runs: readonly EndpointRun[];
+  readonly executions: readonly EndpointExecution[];
   readonly arrivals: readonly EndpointArrival[];
-  readonly asked: readonly EndpointAsked[];
+  readonly signals: readonly EndpointSignal[];
   close(): void;
 }
 
@@ -93,7 +93,7 @@
 const STEP_POLL_MS = 10;
 
 /** The complete answer to a plain request. */
-export const plainAnswer = (requestId: string): string => `answer to ${requestId}`;
+export const completeAnswer = (requestId: string): string => `answer to ${requestId}`;
 /** The data field of one event in the stream of a request. */
 export const eventData = (requestId: string, id: number): string => `${requestId} ${id}`;
 
@@ -113,13 +113,13 @@
  * @example const engine = await startPlatformEngine(options); engine.executions.length
  */
 export async function startPlatformEngine(options: EndpointOptions): Promise<PlatformEngine> {
-  const executions: EndpointRun[] = [];
+  const executions: EndpointExecution[] = [];
   const arrivals: EndpointArrival[] = [];
-  const signals: EndpointAsked[] = [];
+  const signals: EndpointSignal[] = [];
 
   /** Headers for the current backpressure signals; records them if there are any. */
   function backpressureHeaders(requestId: string, retryAfterS?: number): Record<string, string> {
-    const { isLeaving, limitPerS } = options.asks?.() ?? NO_ASKS;
+    const { isLeaving, limitPerS } = options.backpressure?.() ?? NO_BACKPRESSURE;
     const headers = {
       ...(retryAfterS !== undefined && { 'retry-after': String(retryAfterS) }),
       ...(isLeaving && { 'server-leaving': '1' }),
@@ -130,7 +130,7 @@
         endpoint: options.id,
         requestId,
         atMs: options.nowMs(),
-        restMs: retryAfterS === undefined ? undefined : retryAfterS * 1000,
+        retryAfterMs: retryAfterS === undefined ? undefined : retryAfterS * 1000,
         isLeaving,
         limitPerS,
       });
@@ -152,7 +152,7 @@
 
   /** Rejects a share of requests with Retry-After; returns whether this one was rejected. */
   function rejectsWithRetryAfter(requestId: string, res: ServerResponse): boolean {
-    const { restS: retryAfterS, restShare: rejectedShare } = options.asks?.() ?? NO_ASKS;
+    const { retryAfterS, rejectedShare } = options.backpressure?.() ?? NO_BACKPRESSURE;
     if (rejectedShare === 0 || (options.random?.() ?? 0) >= rejectedShare) return false;
     const headers = { 'x-request-id': requestId, 'x-not-executed': '1' };
     res.writeHead(503, { ...headers, ...backpressureHeaders(requestId, retryAfterS) }).end();
@@ -196,7 +196,7 @@
       organisation: singleHeader(req, 'x-tenant'),
       startedAtMs: options.nowMs(),
     });
-    if (options.fallsBy?.(req.url ?? '')) return;
+    if (options.crashesOn?.(req.url ?? '')) return;
     if (options.rank) return sendEventStream(req, res, fault === 'cut');
     await sleep(options.workMs);
     if (fault === 'cut') return void req.socket.resetAndDestroy();
@@ -211,7 +211,7 @@
     requestId: string,
     fault: EndpointFault | undefined,
   ): void {
-    const text = plainAnswer(requestId);
+    const text = completeAnswer(requestId);
     const headers = responseHeaders(requestId, { 'content-length': String(text.length) });
     if (fault === 'crossed') headers['x-request-id'] = `${requestId}-other`;
     if (fault === 'unsigned') delete headers['x-server-stamp'];
@@ -228,5 +228,5 @@
       .catch(() => req.socket.destroy());
   });
   await new Promise<void>((resolve) => server.listen(options.port, options.host, resolve));
-  return { runs: executions, arrivals, asked: signals, close: () => closeServer(server) };
+  return { executions, arrivals, signals, close: () => closeServer(server) };
 }
--- a/fakes/platform/platform.ts
+++ b/fakes/platform/platform.ts
@@ -1,6 +1,6 @@
 /** Fake platform: a configuration and a lagging instance list, which daemons read and watch. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import { Changes } from '../../src/core/clock/index.js';
+import { ChangeSignal } from '../../src/core/clock/index.js';
 import { bodyDigest } from '../../src/core/config-feed/index.js';
 import type {
   ConfigurationBody,
@@ -25,7 +25,7 @@
   private current: Snapshot = { config: undefined, list: undefined };
   private frozenSnapshot: Snapshot = this.current;
   private readonly publishedDocuments = new Map<number, ConfigurationDocument>();
-  private readonly changes = new Changes();
+  private readonly changes = new ChangeSignal();
 
   private constructor(
     private readonly server: Server,
--- a/fakes/rank-engine/rank-group.ts
+++ b/fakes/rank-engine/rank-group.ts
@@ -29,7 +29,7 @@
   /** Whether fences are checked; false only to show why they must be. */
   readonly checksFences: boolean;
   /** Time after which an agent treats its order as unanswered, ms. */
-  readonly noAnswerMs?: number | undefined;
+  readonly answerTimeoutMs?: number | undefined;
   /** Number of steps after which demand shifts to the next expert; never if omitted. */
   readonly shiftSteps?: number | undefined;
 }
@@ -77,7 +77,7 @@
 /** A simulated group of ranks. */
 export class RankGroup {
   /** Steps that started while maps of the ranks differed by version or by contents. */
-  readonly mixed: number[] = [];
+  readonly mixedSteps: number[] = [];
   step = 0;
   epoch = 1;
   private maxHoldMs = 0;
@@ -124,7 +124,7 @@
       rank.armed = undefined;
     }
     if (new Set(this.ranks.map((rank) => JSON.stringify(rank.map))).size > 1)
-      this.mixed.push(this.step);
+      this.mixedSteps.push(this.step);
   }
 
   /**
@@ -170,7 +170,7 @@
           const delayMs =
             LATE_ORDER_MS.min + this.random() * (LATE_ORDER_MS.max - LATE_ORDER_MS.min);
           this.time.after(delayMs, () => this.execute(index, command, fence, epoch));
-          await this.time.sleep(this.options.noAnswerMs ?? DEFAULT_ANSWER_TIMEOUT_MS);
+          await this.time.sleep(this.options.answerTimeoutMs ?? DEFAULT_ANSWER_TIMEOUT_MS);
           return 'unanswered';
         }
         await this.time.sleep(ANSWER_MS);
--- a/fakes/rank-engine/virtual-time.ts
+++ b/fakes/rank-engine/virtual-time.ts
@@ -27,7 +27,7 @@
    * Runs timers up to a time; every promise that can settle does so before the clock advances.
    * @example await time.runUntil(60_000);
    */
-  async playUntil(untilMs: number): Promise<void> {
+  async runUntil(untilMs: number): Promise<void> {
     for (;;) {
       await new Promise((resolve) => setImmediate(resolve));
       const next = this.timers.reduce<Timer | undefined>(
--- a/fakes/raw-endpoint/raw-endpoint.ts
+++ b/fakes/raw-endpoint/raw-endpoint.ts
@@ -11,7 +11,7 @@
 }
 
 /** Responds to a request by writing to its socket. */
-export type RawAnswer = (req: RawRequest) => void;
+export type RawResponder = (req: RawRequest) => void;
 
 /** A running fake endpoint. */
 export interface RawEndpoint {
@@ -20,7 +20,7 @@
   readonly requests: RawRequest[];
   /** Number of connections accepted. */
   connections: number;
-  answer: RawAnswer;
+  respond: RawResponder;
   close(): void;
 }
 
@@ -40,7 +40,7 @@
  * Starts a fake endpoint.
  * @example const endpoint = await startRawEndpoint((req) => req.socket.write(okResponse(req, 'x')));
  */
-export async function startRawEndpoint(respond: RawAnswer): Promise<RawEndpoint> {
+export async function startRawEndpoint(respond: RawResponder): Promise<RawEndpoint> {
   const sockets = new Set<Socket>();
   const server: Server = createServer((socket) => {
     fake.connections += 1;
@@ -58,7 +58,7 @@
         const req = { line, headers, body: text.slice(bodyStart, bodyStart + length), socket };
         text = text.slice(bodyStart + length);
         fake.requests.push(req);
-        fake.answer(req);
+        fake.respond(req);
       }
     });
   });
@@ -67,7 +67,7 @@
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
     requests: [],
     connections: 0,
-    answer: respond,
+    respond,
     close: () => {
       server.close();
       for (const socket of sockets) socket.destroy();
@@ -77,7 +77,7 @@
 }
 
 /** Response head with the ID of the request and the stamp of the server. */
-export function answerHead(
+export function responseHead(
   req: RawRequest,
   status: string,
   extraHeaders: readonly string[],
@@ -94,8 +94,8 @@
 }
 
 /** A complete response with status 200. */
-export function okAnswer(req: RawRequest, body: string): string {
-  return answerHead(req, '200 OK', [`Content-Length: ${body.length}`]) + body;
+export function okResponse(req: RawRequest, body: string): string {
+  return responseHead(req, '200 OK', [`Content-Length: ${body.length}`]) + body;
 }
 
 /** One chunk of a chunked response; an empty text gives the last chunk. */
--- a/fakes/store/store.ts
+++ b/fakes/store/store.ts
@@ -6,7 +6,7 @@
  * How the store responds to every call: normally, with status 503, with a connection reset, never,
  * with a body that is not JSON, or with a truncated body.
  */
-export type StoreMood = 'well' | 'busy' | 'reset' | 'silent' | 'no-json' | 'half';
+export type StoreMode = 'well' | 'busy' | 'reset' | 'silent' | 'no-json' | 'half';
 
 interface Item {
   readonly value: string;
@@ -20,20 +20,20 @@
 }
 
 /** Contents of a store at one time. */
-export interface StoreCopy {
+export interface StoreSnapshot {
   readonly items: ReadonlyMap<string, Item>;
   readonly changes: readonly Change[];
   readonly revision: number;
 }
 
 /** A running fake store. */
-export interface StoreFake {
+export interface FakeStore {
   readonly url: string;
   readonly host: string;
   readonly port: number;
   /** Number of calls by path since the start. */
   readonly calls: Map<string, number>;
-  mood: StoreMood;
+  mode: StoreMode;
   /** Maximum number of items in one page of a range. */
   pageSize: number;
   put(key: string, document: unknown): void;
@@ -43,12 +43,12 @@
   /** Discards the history of changes; watches from an earlier revision end with status 410. */
   compact(): void;
   /** Current contents of the store. */
-  copy(): StoreCopy;
+  snapshot(): StoreSnapshot;
   /**
    * Restores a snapshot and starts a new era: later writes are lost, their revisions are reused, and
    * the connections of waiting watches are closed.
    */
-  restore(snapshot: StoreCopy): void;
+  restore(snapshot: StoreSnapshot): void;
   close(): void;
 }
 
@@ -59,7 +59,7 @@
  * Starts a store that closes idle connections after `keepAliveMs`.
  * @example const store = await startStore(); store.put('op/config', { version: 1 });
  */
-export async function startStore(keepAliveMs = NODE_KEEP_ALIVE_MS): Promise<StoreFake> {
+export async function startStore(keepAliveMs = NODE_KEEP_ALIVE_MS): Promise<FakeStore> {
   let items = new Map<string, Item>();
   let changes: Change[] = [];
   let revision = 1;
@@ -112,11 +112,11 @@
     const url = new URL(req.url ?? '/', 'http://store');
     calls.set(url.pathname, (calls.get(url.pathname) ?? 0) + 1);
     res.setHeader('store-era', era);
-    if (fake.mood === 'busy') return sendJson(res, 503, {});
-    if (fake.mood === 'reset') return void req.socket.resetAndDestroy();
-    if (fake.mood === 'silent') return;
-    if (fake.mood === 'no-json') return void res.writeHead(200).end('<html>');
-    if (fake.mood === 'half') {
+    if (fake.mode === 'busy') return sendJson(res, 503, {});
+    if (fake.mode === 'reset') return void req.socket.resetAndDestroy();
+    if (fake.mode === 'silent') return;
+    if (fake.mode === 'no-json') return void res.writeHead(200).end('<html>');
+    if (fake.mode === 'half') {
       res.writeHead(200, { 'content-length': 100 }).write('{"items":[');
       return void setTimeout(() => req.socket.destroy(), 5);
     }
@@ -136,12 +136,12 @@
 
   const served = await serveLoopback(serve);
   served.server.keepAliveTimeout = keepAliveMs;
-  const fake: StoreFake = {
+  const fake: FakeStore = {
     url: served.url,
     host: '127.0.0.1',
     port: served.port,
     calls,
-    mood: 'well',
+    mode: 'well',
     pageSize: 500,
     put: (key, document) =>
       fake.putRaw(key, Buffer.from(JSON.stringify(document)).toString('base64')),
@@ -162,7 +162,7 @@
       changes = [];
       answerWatches();
     },
-    copy: () => ({ items: new Map(items), changes: [...changes], revision }),
+    snapshot: () => ({ items: new Map(items), changes: [...changes], revision }),
     restore: (snapshot) => {
       era += 1;
       items = new Map(snapshot.items);
--- a/src/agent/endpoint.ts
+++ b/src/agent/endpoint.ts
@@ -1,5 +1,5 @@
 /** Connection of an agent to its model endpoint. */
-import type { KeptConnections } from '../runtime/index.js';
+import type { ConnectionPools } from '../runtime/index.js';
 
 /** Calls from an agent to its endpoint. */
 export interface Endpoint {
@@ -16,7 +16,7 @@
  * Creates the connection to an endpoint.
  * @example await connectEndpoint(connections, 'http://10.1.0.4:8000').read('/state');
  */
-export function connectEndpoint(connections: KeptConnections, origin: string): Endpoint {
+export function connectEndpoint(connections: ConnectionPools, origin: string): Endpoint {
   const baseRequest = {
     origin,
     headersTimeout: RESPONSE_TIMEOUT_MS,
--- a/src/agent/placement-round.ts
+++ b/src/agent/placement-round.ts
@@ -2,7 +2,7 @@
  * Placement rounds of a coordinator: chooses a new expert map from token counts when the gain
  * outweighs its cost.
  */
-import { PRELOAD_MS } from '../core/events/index.js';
+import { PRELOAD_LEAD_MS } from '../core/events/index.js';
 import type { ChooseMap, ExpertMap, GroupSnapshot } from '../core/groups/index.js';
 import {
   BALANCED_STEP_MS,
@@ -25,7 +25,7 @@
   wallMs: number,
 ): { shifts: DeclaredShift[]; inEvent: boolean } {
   const relevantEvents = (body.events ?? []).filter(
-    (e) => wallMs >= e.startMs - PRELOAD_MS && wallMs < e.startMs + e.durationMs,
+    (e) => wallMs >= e.startMs - PRELOAD_LEAD_MS && wallMs < e.startMs + e.durationMs,
   );
   return {
     shifts: relevantEvents.flatMap((e) => (e.hotExperts ?? []).filter((h) => h.group === group)),
--- a/src/agent/rank.ts
+++ b/src/agent/rank.ts
@@ -130,7 +130,7 @@
       knownMap = view.map;
       // If the process was suspended before the choice, its promises are stale: the next round gets
       // new ones.
-      return ctx.pause.lateMs() > 0 ? undefined : chooseMap(view);
+      return ctx.pauseDetector.pausedMs() > 0 ? undefined : chooseMap(view);
     });
     highestEpoch = lastSwitch.kind === 'blocked' ? Math.max(epoch, lastSwitch.highest) : epoch;
     ctx.metrics.count('switch_rounds_total', { end: lastSwitch.kind });
--- a/src/caller-api/decisions.ts
+++ b/src/caller-api/decisions.ts
@@ -3,14 +3,14 @@
 import { MAX_DECISIONS } from './consts.js';
 
 /** The log fields of the end of one request. */
-export type DecisionNote = LogFields & { readonly request: string };
+export type Decision = LogFields & { readonly request: string };
 
 /** Log event written at the end of each request. */
 const REQUEST_END_EVENT = 'request.end';
 
 /** A bounded record of ended requests; the oldest is evicted first. */
 export class DecisionRecord {
-  private readonly decisions = new Map<string, DecisionNote>();
+  private readonly decisions = new Map<string, Decision>();
 
   /**
    * Wraps a log so that the ends of requests are also recorded here.
@@ -29,12 +29,12 @@
   }
 
   /** The decision for a request id; undefined once evicted. */
-  find(id: string): DecisionNote | undefined {
+  find(id: string): Decision | undefined {
     return this.decisions.get(id);
   }
 
   /** The latest decisions, newest first. */
-  latest(count: number): DecisionNote[] {
+  latest(count: number): Decision[] {
     return [...this.decisions.values()].slice(-count).reverse();
   }
 
--- a/src/caller-api/organisation-limits.ts
+++ b/src/caller-api/organisation-limits.ts
@@ -52,7 +52,7 @@
       parts.clock.wallMs(),
     );
     if (refusal) {
-      const { reason, facts, retryAfterS } = refusal;
+      const { reason, detail: facts, retryAfterS } = refusal;
       return Err({ reason, detail: facts, ...(retryAfterS !== undefined && { retryAfterS }) });
     }
     for (const name of [organisation.id, target]) this.changeOpenCount(name, 1);
--- a/src/cli/check/index.ts
+++ b/src/cli/check/index.ts
@@ -1,5 +1,5 @@
 /** `harrierglade check`: reports the errors in a settings, configuration or intent file. */
-import { bodyDigest, EMPTY_BODY, judgeDocument } from '../../core/config-feed/index.js';
+import { bodyDigest, EMPTY_BODY, checkDocument } from '../../core/config-feed/index.js';
 import { planEvent } from '../../core/events/index.js';
 import { checkSettings, nearestName } from '../../core/settings/index.js';
 import type { ConfigurationDocument } from '../../generated/configuration.types.js';
@@ -15,7 +15,7 @@
 }
 
 function checkConfiguration(data: unknown): string | undefined {
-  const checked = judgeDocument(toDocument(data));
+  const checked = checkDocument(toDocument(data));
   return checked.err ? checked.val.message : undefined;
 }
 
@@ -34,7 +34,7 @@
   if (kind === 'configuration') return checkConfiguration(data);
   // Without a published configuration only the schema of an intent can be checked.
   const plan = planEvent(data, EMPTY_DOCUMENT, 0);
-  return plan.err && /^\//.test(plan.val.facts) ? plan.val.message : undefined;
+  return plan.err && /^\//.test(plan.val.detail) ? plan.val.message : undefined;
 }
 
 /** Validates the file; throws a `CommandError` with the errors found. */
--- a/src/cli/explain/index.ts
+++ b/src/cli/explain/index.ts
@@ -1,5 +1,5 @@
 /** `harrierglade explain`: prints why a request was routed to its endpoint or refused. */
-import type { DecisionNote } from '../../caller-api/decisions.js';
+import type { Decision } from '../../caller-api/decisions.js';
 import { formatLine } from '../../core/logging/index.js';
 import { fetchJson, operatorsUrl, print } from '../shared/io.js';
 
@@ -11,7 +11,7 @@
 ): Promise<void> {
   const query = id ? `?id=${encodeURIComponent(id)}` : '';
   const data = (await fetchJson(`${operatorsUrl(address)}/explain${query}`)) as
-    DecisionNote | DecisionNote[];
+    Decision | Decision[];
   if (options.json) return print(JSON.stringify(data));
   for (const note of [data].flat()) print(formatLine(note));
 }
--- a/src/cli/shared/io.ts
+++ b/src/cli/shared/io.ts
@@ -1,7 +1,7 @@
 /** Input and output shared by the commands. */
 import { readFileSync } from 'node:fs';
 import { request } from 'undici';
-import { judgeDocument } from '../../core/config-feed/index.js';
+import { checkDocument } from '../../core/config-feed/index.js';
 import { errorText, notRun } from '../../core/errors/index.js';
 import type { ConfigurationDocument } from '../../generated/configuration.types.js';
 
@@ -75,7 +75,7 @@
 ): Promise<ConfigurationState> {
   const data = await fetchJson(`${platform}/configuration?above=0&wait=0`);
   const newest = Number((data as { version?: unknown }).version);
-  const checked = judgeDocument(data);
+  const checked = checkDocument(data);
   if (checked.ok) return { newestVersion: newest, doc: checked.val };
   if (!daemon) {
     const remedy =
@@ -86,7 +86,7 @@
     );
   }
   const daemonDocument = await fetchJson(`${operatorsUrl(daemon)}/configuration`);
-  const inForce = judgeDocument(daemonDocument);
+  const inForce = checkDocument(daemonDocument);
   if (inForce.err) throw new CommandError(notRun('no-config').message, EXIT_CODE.refused);
   return { newestVersion: newest, doc: inForce.val };
 }
--- a/src/core/backpressure/gossip.ts
+++ b/src/core/backpressure/gossip.ts
@@ -1,7 +1,7 @@
 /** Gossip of rate limits between entries, by way of the relays. */
 import type { Clock } from '../clock/index.js';
 import type { EndpointId } from '../ids/index.js';
-import type { AsksTold, ToldLimit } from '../../generated/messages.types.js';
+import type { RateLimitDelta, LimitObservation } from '../../generated/messages.types.js';
 import { KnownLimits, type LimitChange } from './known-limits.js';
 
 /** Dependencies of the gossip. */
@@ -29,18 +29,18 @@
   }
 
   /** Changes after a version; undefined if no limit is known. */
-  deltaSince(version: number): AsksTold | undefined {
+  deltaSince(version: number): RateLimitDelta | undefined {
     if (this.limits.isEmpty) return undefined;
     return { heard: this.limits.version, limits: this.limits.changesSince(version) };
   }
 
   /** Merges the delta of a relay. */
-  mergeFromRelay({ limits }: AsksTold): void {
+  mergeFromRelay({ limits }: RateLimitDelta): void {
     this.limits.merge(limits);
   }
 
   /** Merges the update of another entry; true if anything changed. */
-  mergeFromPeer({ limits }: { readonly limits: readonly ToldLimit[] }): boolean {
+  mergeFromPeer({ limits }: { readonly limits: readonly LimitObservation[] }): boolean {
     return this.limits.merge(limits);
   }
 
--- a/src/core/backpressure/known-limits.ts
+++ b/src/core/backpressure/known-limits.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../clock/index.js';
 import { asId, type EndpointId } from '../ids/index.js';
 import type { EndpointProcess } from '../published/types.js';
-import type { ToldLimit } from '../../generated/messages.types.js';
+import type { LimitObservation } from '../../generated/messages.types.js';
 import { ANNOUNCE_MS, RELEASE_MS, UNLISTED_MS } from './consts.js';
 
 const MAX_FIRST_ID = 2 ** 47;
@@ -181,13 +181,13 @@
   }
 
   /** Limits that changed since a version. */
-  changesSince(version: number): ToldLimit[] {
+  changesSince(version: number): LimitObservation[] {
     const ids = [...this.byId].filter(([, known]) => known.version > version).map(([id]) => id);
     return ids.map((id) => this.describe(id)).filter((limit) => limit !== undefined);
   }
 
   /** An endpoint's limit as a message; undefined if none is known. */
-  describe(id: EndpointId): ToldLimit | undefined {
+  describe(id: EndpointId): LimitObservation | undefined {
     const known = this.byId.get(id);
     if (!known) return undefined;
     const nowMs = this.clock.nowMs();
@@ -209,7 +209,7 @@
    * Merges limits from another entry; true if any of them changed.
    * @example if (limits.merge(update.limits)) relay.wake();
    */
-  merge(limits: readonly ToldLimit[]): boolean {
+  merge(limits: readonly LimitObservation[]): boolean {
     const before = this.changes;
     const nowMs = this.clock.nowMs();
     for (const limit of limits) {
--- a/src/core/backpressure/limit-updates.ts
+++ b/src/core/backpressure/limit-updates.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../clock/index.js';
 import type { EndpointId } from '../ids/index.js';
-import type { ToldLimit } from '../../generated/messages.types.js';
+import type { LimitObservation } from '../../generated/messages.types.js';
 
 /** Pause after an update that was not acknowledged, ms. */
 const RESEND_MS = 1000;
@@ -14,9 +14,9 @@
   readonly clock: Pick<Clock, 'nowMs'>;
   readonly relays: readonly string[];
   /** An endpoint's limit as a message; undefined if none is known. */
-  readonly describe: (id: EndpointId) => ToldLimit | undefined;
+  readonly describe: (id: EndpointId) => LimitObservation | undefined;
   /** Sends an update; rejects if it is not acknowledged in time. */
-  readonly send: (relay: string, limits: ToldLimit[]) => Promise<void>;
+  readonly send: (relay: string, limits: LimitObservation[]) => Promise<void>;
   /** Called when a relay did not acknowledge an update. */
   readonly onFailed: (relay: string, err: unknown) => void;
 }
--- a/src/core/backpressure/relay-limiter.ts
+++ b/src/core/backpressure/relay-limiter.ts
@@ -9,7 +9,7 @@
 import { rendezvousOrder } from '../membership/rendezvous.js';
 import { hostOf } from '../published/address.js';
 import type { EndpointProcess } from '../published/types.js';
-import type { TokenGrant, TokenRequest } from '../../generated/messages.types.js';
+import type { RateLimitTokenReply, RateLimitTokenRequest } from '../../generated/messages.types.js';
 import {
   ASSUMED_PEERS,
   MAX_PENDING,
@@ -35,7 +35,7 @@
   /** Addresses of all relays, this entry among them if it is one; the same at every entry. */
   readonly relays: readonly string[];
   /** Requests a token from a relay; rejects if it does not answer in time. */
-  readonly ask: (relay: string, request: TokenRequest) => Promise<TokenGrant>;
+  readonly ask: (relay: string, request: RateLimitTokenRequest) => Promise<RateLimitTokenReply>;
   /** Number of entries known from other sources; 0 if none. */
   readonly countKnown: () => number;
   readonly log: Pick<Log, 'info'>;
@@ -174,7 +174,7 @@
     shard.deniedPerS = limit ? ratePerS(limit) : Number.POSITIVE_INFINITY;
   }
 
-  private take(shard: Shard, { isGranted, retryMs = 0, peers, limit }: TokenGrant): void {
+  private take(shard: Shard, { isGranted, retryMs = 0, peers, limit }: RateLimitTokenReply): void {
     const { limits, onResult } = this.deps;
     if (limit) limits.merge([limit]);
     this.limiters.notePeers(peers);
--- a/src/core/backpressure/token-grants.ts
+++ b/src/core/backpressure/token-grants.ts
@@ -7,7 +7,7 @@
  */
 import type { Clock } from '../clock/index.js';
 import { asId, type EndpointId } from '../ids/index.js';
-import type { TokenGrant, TokenRequest } from '../../generated/messages.types.js';
+import type { RateLimitTokenReply, RateLimitTokenRequest } from '../../generated/messages.types.js';
 import { REQUESTS_PER_TOKEN, COMPETITOR_MS, MAX_SPACING_MS } from './consts.js';
 import type { KnownLimits } from './known-limits.js';
 import { shardShare } from './limit-share.js';
@@ -43,7 +43,7 @@
    * Grants or denies a token to an entry; the request carries the limit as known to the entry.
    * @example grants.take({ from: 'entry-1', limit }).isGranted
    */
-  take({ from, limit }: TokenRequest): TokenGrant {
+  take({ from, limit }: RateLimitTokenRequest): RateLimitTokenReply {
     const { clock, limits, shards } = this.deps;
     limits.merge([limit]);
     const process = { id: asId<EndpointId>(limit.endpoint), startedAtMs: limit.startedAtMs };
@@ -63,7 +63,7 @@
     return { ...this.granted(process.id), isGranted: false, retryMs: Math.ceil(retryMs) };
   }
 
-  private granted(id: EndpointId): TokenGrant {
+  private granted(id: EndpointId): RateLimitTokenReply {
     const limit = this.deps.limits.describe(id);
     return { isGranted: true, peers: this.maxCompetitors, ...(limit && { limit }) };
   }
--- a/src/core/clock/change-signal.ts
+++ b/src/core/clock/change-signal.ts
@@ -1,7 +1,7 @@
 /** Lets callers wait for the next change, with a timeout. */
 
 /** Notifies all current waiters of a change. */
-export class Changes {
+export class ChangeSignal {
   private readonly waiters = new Set<() => void>();
 
   /**
--- a/src/core/clock/clock.ts
+++ b/src/core/clock/clock.ts
@@ -21,7 +21,7 @@
 /** Detects whether the process was stalled or suspended between two checks. */
 export interface PauseDetector {
   /** Time since the last check if it exceeds the limit, otherwise 0, in ms. Counts as a check. */
-  lateMs(): number;
+  pausedMs(): number;
 }
 
 /**
@@ -46,7 +46,7 @@
   };
   const timer = setInterval(check, tickMs);
   timer.unref();
-  return { lateMs: check, stop: () => clearInterval(timer) };
+  return { pausedMs: check, stop: () => clearInterval(timer) };
 }
 
 /**
--- a/src/core/config-feed/check-document.ts
+++ b/src/core/config-feed/check-document.ts
@@ -107,7 +107,7 @@
  * `version - 1` means that another author published a version in between.
  * @example checkDocument(await res.json()).err // true when basedOn is not version - 1
  */
-export function judgeDocument(data: unknown): Result<ConfigurationDocument, HarriergladeError> {
+export function checkDocument(data: unknown): Result<ConfigurationDocument, HarriergladeError> {
   // The schema has no defaults: a validator that filled them in would change the digest of a
   // document that is passed on to peers.
   const digest = bodyDigest((data as { body?: unknown } | null)?.body);
--- a/src/core/config-feed/feed.ts
+++ b/src/core/config-feed/feed.ts
@@ -183,7 +183,7 @@
     exchangeVersions(options, relayAbort.signal),
   ];
   while (!signal.aborted && isRelay(options))
-    await options.store.waitNewer(options.store.versions(), 1000);
+    await options.store.waitForUpdates(options.store.versions(), 1000);
   stop();
   signal.removeEventListener('abort', stop);
   await Promise.all(tasks);
--- a/src/core/config-feed/store.ts
+++ b/src/core/config-feed/store.ts
@@ -5,10 +5,10 @@
 import type { ConfigurationDocument } from '../../generated/configuration.types.js';
 import type { InstanceList } from '../../generated/instances.types.js';
 import validateList from '../../generated/instances.validator.js';
-import { Changes, type Clock } from '../clock/index.js';
+import { ChangeSignal, type Clock } from '../clock/index.js';
 import type { Log } from '../logging/index.js';
 import type { Metrics } from '../metrics/index.js';
-import { judgeDocument } from './check-document.js';
+import { checkDocument } from './check-document.js';
 import {
   applyConfig,
   applyList,
@@ -50,7 +50,7 @@
   private configDelta: (() => ConfigDelta) | undefined;
   private listDelta: (() => ListDelta) | undefined;
   private needsFullDocument = false;
-  private readonly changes = new Changes();
+  private readonly changes = new ChangeSignal();
   private readonly listeners = new Set<() => void>();
   private readonly refusedVersions = new Map<number, RefusedDocument>();
   private acceptedAtMs = 0;
@@ -99,8 +99,8 @@
     const version = Number((data as { version?: unknown } | null)?.version);
     if (version <= this.versions().config) return this.countStale('config');
     if (this.refusedVersions.has(version)) return false;
-    const result = judgeDocument(data);
-    if (result.err) return this.rejectDocument(version, result.val.reason, result.val.facts, from);
+    const result = checkDocument(data);
+    if (result.err) return this.rejectDocument(version, result.val.reason, result.val.detail, from);
     const before = this.doc;
     const after = result.val;
     this.doc = after;
@@ -177,7 +177,7 @@
   }
 
   /** Waits up to `waitMs` for an update to the given versions. */
-  async waitNewer(held: Versions, waitMs: number): Promise<FeedUpdate | undefined> {
+  async waitForUpdates(held: Versions, waitMs: number): Promise<FeedUpdate | undefined> {
     const available = this.updatesSince(held);
     if (available || waitMs <= 0) return available;
     await this.changes.next(waitMs);
--- a/src/core/crashes/evidence.ts
+++ b/src/core/crashes/evidence.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../clock/index.js';
 import type { EndpointId } from '../ids/index.js';
 import { asId } from '../ids/index.js';
-import type { CrashNews, CrashSuspect } from '../../generated/messages.types.js';
+import type { CrashUpdate, CrashSuspect } from '../../generated/messages.types.js';
 import type { Fingerprint } from './fingerprint.js';
 
 /**
@@ -106,7 +106,7 @@
   }
 
   /** Changes after a version, as a message to other entries. */
-  deltaSince(version: number): CrashNews {
+  deltaSince(version: number): CrashUpdate {
     const changed = [...this.suspects].filter(([, suspect]) => suspect.version > version);
     return {
       suspects: changed.map(([fingerprint, suspect]) => this.toMessage(fingerprint, suspect)),
@@ -127,7 +127,7 @@
    * Merges the update of another entry; true if anything changed.
    * @example if (evidence.merge(update)) relay.wake();
    */
-  merge({ suspects }: CrashNews): boolean {
+  merge({ suspects }: CrashUpdate): boolean {
     const before = this.changes;
     for (const { fingerprint: text, crashes, clearedAgoMs } of suspects) {
       const fingerprint = asId<Fingerprint>(text);
--- a/src/core/errors/errors.ts
+++ b/src/core/errors/errors.ts
@@ -5,12 +5,12 @@
 export class HarriergladeError extends Error {
   constructor(
     readonly reason: Reason,
-    readonly facts: string,
+    readonly detail: string,
     readonly outcome: Outcome,
     readonly retryAfterS?: number,
   ) {
     const kind: ErrorKind = ERROR_KINDS[reason];
-    super(`${kind.title}: ${kind.message(facts)} ${kind.remedy}`);
+    super(`${kind.title}: ${kind.message(detail)} ${kind.remedy}`);
     this.name = 'HarriergladeError';
   }
 }
@@ -27,7 +27,11 @@
  * Creates an error for a request that may have run.
  * @example outcomeUnknown('answer-lost', 'connection reset').outcome // 'unknown'
  */
-export function unknown(reason: Reason, detail = '', retryAfterS?: number): HarriergladeError {
+export function outcomeUnknown(
+  reason: Reason,
+  detail = '',
+  retryAfterS?: number,
+): HarriergladeError {
   return new HarriergladeError(reason, detail, 'unknown', retryAfterS);
 }
 
@@ -53,7 +57,7 @@
     type: `urn:harrierglade:${err.reason}`,
     title: kind.title,
     status: kind.status,
-    detail: kind.message(err.facts),
+    detail: kind.message(err.detail),
     reason: err.reason,
     remedy: kind.remedy,
     outcome: err.outcome,
@@ -78,9 +82,9 @@
  * Whether the caller ended the call: by a timeout, or by aborting its signal without a custom reason.
  * @example isAbortOrTimeout(AbortSignal.abort().reason) // true
  */
-export function isGivenUp(err: unknown): boolean {
+export function isAbortOrTimeout(err: unknown): boolean {
   if (!(err instanceof Error)) return false;
-  return err.name === 'AbortError' || isTimeout(err) || isGivenUp(err.cause);
+  return err.name === 'AbortError' || isTimeout(err) || isAbortOrTimeout(err.cause);
 }
 
 /**
--- a/src/core/events/plan.ts
+++ b/src/core/events/plan.ts
@@ -17,7 +17,7 @@
 } from './types.js';
 
 /** Time before an event's start at which loading of its hot experts begins, ms. */
-export const PRELOAD_MS = 120_000;
+export const PRELOAD_LEAD_MS = 120_000;
 const INTENT_KEYS: Record<string, string[]> = {
   '': ['id', 'start', 'durationMinutes', 'organisations', 'surge', 'hotExperts', 'sacrifice'],
 };
@@ -135,7 +135,7 @@
   // Upper bound: one additional replica of each hot expert in every layer.
   const bytes = experts.length * group.layers * group.expertBytes;
   const bytesPerSecond = body.policy.weightStoreBytesPerSecond / body.groups.length;
-  const beginMs = event.startMs - PRELOAD_MS;
+  const beginMs = event.startMs - PRELOAD_LEAD_MS;
   const endMs = beginMs + Math.ceil((bytes / bytesPerSecond) * 1000);
   return { group: group.id, experts, bytes, beginMs, endMs, inTime: endMs <= event.startMs };
 }
--- a/src/core/groups/packing.ts
+++ b/src/core/groups/packing.ts
@@ -6,7 +6,7 @@
  */
 import { createHash } from 'node:crypto';
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
-import type { MapChange, PackedCounts, PackedMap } from '../../generated/messages.types.js';
+import type { MapDelta, PackedTokenCounts, PackedMap } from '../../generated/messages.types.js';
 import type { ExpertMap } from './types.js';
 
 /** Largest value of a byte. */
@@ -79,7 +79,7 @@
  * rank, a whole map is 12 KB and the change of a third of it 6 KB (packing.test).
  * @example packMapChange(inUse, next).cells
  */
-export function packMapChange(base: ExpertMap, next: ExpertMap): MapChange {
+export function packMapChange(base: ExpertMap, next: ExpertMap): MapDelta {
   const numbers: number[] = [];
   next.layers.forEach((layer, l) =>
     layer.forEach((held, rank) => {
@@ -96,7 +96,7 @@
  * Applies a map change to its base map; undefined when the checksum of the result does not match.
  * @example unpackMapChange(inUse, packMapChange(inUse, next)) // equals next
  */
-export function unpackMapChange(base: ExpertMap, change: MapChange): ExpertMap | undefined {
+export function unpackMapChange(base: ExpertMap, change: MapDelta): ExpertMap | undefined {
   const numbers = decodeUint16s(Buffer.from(change.cells, 'base64'));
   const layers = base.layers.map((layer) => layer.map((held) => [...held]));
   for (let at = 0; at < numbers.length; at += 3 + (numbers[at + 2] ?? 0)) {
@@ -113,7 +113,7 @@
  * experts.
  * @example packCounts([[510, 0]]) // { unit: 2, layers: ['/wA='] }
  */
-export function packCounts(counts: readonly (readonly number[])[]): PackedCounts {
+export function packCounts(counts: readonly (readonly number[])[]): PackedTokenCounts {
   const largest = counts.reduce((max, layer) => Math.max(max, ...layer), 0);
   const unit = largest / MAX_BYTE;
   const quantize = (count: number): number => (unit > 0 ? Math.round(count / unit) : 0);
@@ -127,7 +127,7 @@
  * Decodes counts, indexed by layer and expert.
  * @example unpackCounts({ unit: 2, layers: ['/wA='] }) // [[510, 0]]
  */
-export function unpackCounts(packed: PackedCounts): number[][] {
+export function unpackCounts(packed: PackedTokenCounts): number[][] {
   return packed.layers.map((text) =>
     Array.from(Buffer.from(text, 'base64'), (step) => step * packed.unit),
   );
--- a/src/core/published/follow.ts
+++ b/src/core/published/follow.ts
@@ -8,7 +8,7 @@
 import type { FollowPace } from './pace.js';
 import type { PublishedState } from './published-state.js';
 import { SourceHealth } from './source-health.js';
-import type { ConfigNews, PublishedSource, ReadFault, ReadTime } from './source.js';
+import type { ConfigUpdate, PublishedSource, ReadFault, ReadTime } from './source.js';
 import { StateUpdater } from './state-updater.js';
 
 /** Factor by which the pause grows with each consecutive failure. */
@@ -31,7 +31,7 @@
 const RESTORED_RECORD_LAPSE_MS = 4500;
 
 /** Dependencies of `followPublished`. */
-export interface FollowParts {
+export interface FollowDeps {
   readonly source: PublishedSource;
   readonly state: PublishedState;
   readonly clock: Clock;
@@ -40,12 +40,12 @@
   readonly random: () => number;
   readonly pace: FollowPace;
   /** Called after each update of the state, including reads without changes. */
-  readonly onLearnt?: () => void;
+  readonly onRefresh?: () => void;
   /**
    * Returns whether the state lacks something that only a full read can provide; called before each
    * watch.
    */
-  readonly isLacking?: () => boolean;
+  readonly needsFullRead?: () => boolean;
 }
 
 /**
@@ -76,7 +76,7 @@
   private graceUntilMs = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly deps: FollowParts,
+    private readonly deps: FollowDeps,
     private readonly signal: AbortSignal,
   ) {
     this.sourceHealth = new SourceHealth(deps);
@@ -86,7 +86,7 @@
   async run(): Promise<void> {
     while (!this.signal.aborted) {
       if (this.isConfigPending) await this.readConfig();
-      if (this.revision === undefined || this.deps.isLacking?.()) await this.readAll();
+      if (this.revision === undefined || this.deps.needsFullRead?.()) await this.readAll();
       else await this.watch(this.revision);
     }
   }
@@ -102,7 +102,7 @@
     this.stateUpdater.logInvalid(read.val.invalid);
     this.revision = read.val.revision;
     this.noteRefresh();
-    if (this.deps.isLacking?.() && !this.isConfigPending)
+    if (this.deps.needsFullRead?.() && !this.isConfigPending)
       await sleep(this.deps.pace.changePauseMs, this.signal);
   }
 
@@ -137,7 +137,7 @@
     return era !== this.deps.state.era;
   }
 
-  private applyConfig(update: ConfigNews, askedAtMs: number, time: ReadTime): void {
+  private applyConfig(update: ConfigUpdate, askedAtMs: number, time: ReadTime): void {
     const { confirmedAfterMs = 0, contactAfterMs = confirmedAfterMs } = time;
     if (update.kind !== 'same') this.isConfigPending = update.kind === 'pending';
     this.deps.state.noteContact(askedAtMs + contactAfterMs);
@@ -167,7 +167,7 @@
 
   private noteRefresh(): void {
     this.sourceHealth.noteReceived();
-    this.deps.onLearnt?.();
+    this.deps.onRefresh?.();
   }
 
   private async handleFailure(fault: ReadFault, askedAtMs: number): Promise<void> {
@@ -212,7 +212,7 @@
   }
 
   private async markListCurrentLater(era: number): Promise<void> {
-    const { state, onLearnt } = this.deps;
+    const { state, onRefresh: onLearnt } = this.deps;
     await sleep(RESTORED_RECORD_LAPSE_MS, this.signal);
     if (this.signal.aborted || state.era !== era) return;
     state.markListCurrent();
@@ -234,7 +234,7 @@
   private dropMissing(): void {
     const change = this.deps.state.dropMissing();
     this.stateUpdater.logListChange(change);
-    if (change.gone.length > 0) this.deps.onLearnt?.();
+    if (change.gone.length > 0) this.deps.onRefresh?.();
   }
 }
 
@@ -242,6 +242,6 @@
  * Follows the published state until the signal aborts.
  * @example void followPublished(deps, signal);
  */
-export function followPublished(deps: FollowParts, signal: AbortSignal): Promise<void> {
+export function followPublished(deps: FollowDeps, signal: AbortSignal): Promise<void> {
   return new Follower(deps, signal).run();
 }
--- a/src/core/published/pace.ts
+++ b/src/core/published/pace.ts
@@ -25,7 +25,7 @@
  * Timeout of a store response beyond the time for which the store may hold the request, ms. It
  * responds in 4 ms, and in up to 0.3 s while it is slow.
  */
-export const STORE_ANSWER_MS = 800;
+export const STORE_ANSWER_TIMEOUT_MS = 800;
 /** Margin for a busy processor and a new connection, ms. */
 const MARGIN_MS = 200;
 /**
@@ -47,7 +47,7 @@
  * @example entryPace(3000).waitMs // 1200
  */
 export function entryPace(contactMs: number): FollowPace {
-  const budgetMs = contactMs - 2 * STORE_ANSWER_MS - MARGIN_MS;
+  const budgetMs = contactMs - 2 * STORE_ANSWER_TIMEOUT_MS - MARGIN_MS;
   return {
     waitMs: Math.max(MIN_ENTRY_WAIT_MS, Math.min(MAX_ENTRY_WAIT_MS, budgetMs)),
     minWaitMs: 200,
--- a/src/core/published/published-state.ts
+++ b/src/core/published/published-state.ts
@@ -49,7 +49,7 @@
   }
 
   /** Time since the configuration was last confirmed as current, ms; infinite if it never was. */
-  proofAgeMs(nowMs: number): number {
+  confirmedAgoMs(nowMs: number): number {
     return nowMs - this.confirmedAtMs;
   }
 
@@ -107,7 +107,7 @@
   }
 
   /** Confirms that the active configuration was still current at some time after `askedAtMs`. */
-  proveConfig(askedAtMs: number): void {
+  confirmConfig(askedAtMs: number): void {
     if (this.currentConfig) this.confirm(askedAtMs);
   }
 
@@ -117,13 +117,13 @@
   }
 
   /** Returns whether an endpoint receives new requests. */
-  takesWork(id: EndpointId): boolean {
+  isAvailable(id: EndpointId): boolean {
     const endpoint = this.endpoints.get(id);
     return endpoint !== undefined && !this.isDeparted(endpoint);
   }
 
   /** Iterates over the endpoints of a service that receive new requests. */
-  *workingOf(service: ServiceId): Iterable<PublishedEndpoint> {
+  *availableEndpoints(service: ServiceId): Iterable<PublishedEndpoint> {
     for (const endpoint of this.endpoints.values())
       if (endpoint.service === service && !this.isDeparted(endpoint)) yield endpoint;
   }
--- a/src/core/published/relay-client.ts
+++ b/src/core/published/relay-client.ts
@@ -4,14 +4,14 @@
  */
 import { NO_VERSION, type RateLimitGossip } from '../backpressure/index.js';
 import type { CrashEvidence } from '../crashes/index.js';
-import { errorText, isGivenUp } from '../errors/index.js';
+import { errorText, isAbortOrTimeout } from '../errors/index.js';
 import { asId, type EndpointId } from '../ids/index.js';
 import { Err, Ok, type Result } from '../result/index.js';
-import type { PublishedAsk, PublishedNews } from '../../generated/messages.types.js';
+import type { PublishedRequest, PublishedUpdate } from '../../generated/messages.types.js';
 import type { PublishedState } from './published-state.js';
 import { endpointFrom, RELAY_STALE_MS } from './relay.js';
 import type {
-  ConfigNews,
+  ConfigUpdate,
   ConfigRead,
   EndpointChange,
   PublishedRead,
@@ -19,15 +19,15 @@
   PublishedStore,
   ReadFault,
   ReadTime,
-  Watched,
+  WatchResult,
 } from './source.js';
 
 /** Sends a request to the relay at an address; rejects if it does not respond in time. */
-export type AskRelay = (
+export type SendRelayRequest = (
   address: string,
-  ask: PublishedAsk,
+  ask: PublishedRequest,
   withinMs: number,
-) => Promise<PublishedNews>;
+) => Promise<PublishedUpdate>;
 
 /** How a daemon reads from relays. */
 export interface RelayedPace {
@@ -41,9 +41,9 @@
  * Pace of an entry. It must switch to another source within a second after the next freshness check
  * was due: a change that a relay never reports must take effect within 2 s.
  */
-export const ENTRY_RELAYED: RelayedPace = { waitMs: 700, wantsProof: true };
+export const ENTRY_RELAYED_PACE: RelayedPace = { waitMs: 700, wantsProof: true };
 /** Pace of an agent, which rarely acts, and only on changes of its own group. */
-export const AGENT_RELAYED: RelayedPace = { waitMs: 5000, wantsProof: false };
+export const AGENT_RELAYED_PACE: RelayedPace = { waitMs: 5000, wantsProof: false };
 
 /**
  * Timeout of a response beyond the wait, ms. A relay has two thirds of a core and serves some
@@ -62,7 +62,7 @@
   readonly store: PublishedStore;
   /** Whether this daemon is a relay itself. */
   readonly isRelay: boolean;
-  readonly ask: AskRelay;
+  readonly ask: SendRelayRequest;
   readonly state: PublishedState;
   readonly pace: RelayedPace;
   /** Whether to read a newer configuration; the first one is always read. */
@@ -74,16 +74,16 @@
 }
 
 /** Position in the sequence of changes that a relay sent. */
-type RelayCursor = Pick<PublishedAsk, 'life' | 'sequence'>;
+type RelayCursor = Pick<PublishedRequest, 'life' | 'sequence'>;
 
 /** Cursor of a request, and whether it asks for the document. */
-type RelayQuery = RelayCursor & Pick<PublishedAsk, 'wantsDocument'>;
+type RelayQuery = RelayCursor & Pick<PublishedRequest, 'wantsDocument'>;
 
 const START_CURSOR: RelayCursor = { life: '', sequence: 0 };
 
 /** A relay's update and the configuration state that it implies. */
 interface RelayRead extends ConfigRead {
-  readonly update: PublishedNews;
+  readonly update: PublishedUpdate;
 }
 
 function fault(kind: ReadFault['kind'], detail: string): Result<never, ReadFault> {
@@ -120,7 +120,7 @@
    * Reads the changes since the last response and ignores the revision; returns an error if the
    * relay no longer has them.
    */
-  async watch(_revision: number, waitMs: number): Promise<Result<Watched, ReadFault>> {
+  async watch(_revision: number, waitMs: number): Promise<Result<WatchResult, ReadFault>> {
     const result = await this.fetchUpdate(this.cursor, waitMs);
     if (result.err) return result;
     const { update, ...read } = result.val;
@@ -158,11 +158,11 @@
   private async request(
     query: RelayQuery,
     waitMs: number,
-  ): Promise<Result<PublishedNews, ReadFault>> {
+  ): Promise<Result<PublishedUpdate, ReadFault>> {
     const { ask, pace, state, crashes, asks } = this.parts;
     const { wantsProof } = pace;
     const configVersion = wantsProof ? state.config?.version : undefined;
-    const request: PublishedAsk = {
+    const request: PublishedRequest = {
       ...query,
       waitMs,
       wantsProof,
@@ -177,24 +177,24 @@
       this.mergeRateLimits(update);
       return Ok(update);
     } catch (err) {
-      return fault(isGivenUp(err) ? 'timeout' : 'reset', `${this.name}: ${errorText(err)}`);
+      return fault(isAbortOrTimeout(err) ? 'timeout' : 'reset', `${this.name}: ${errorText(err)}`);
     }
   }
 
   /** Evidence of crashes is merged even if the rest of the update is unusable. */
-  private mergeCrashes({ crashes, crashVersion = 0 }: PublishedNews): void {
+  private mergeCrashes({ crashes, crashVersion = 0 }: PublishedUpdate): void {
     if (crashes) this.parts.crashes?.merge(crashes);
     this.seenCrashVersion = crashVersion;
   }
 
   /** Declared limits are merged even if the rest of the update is unusable. */
-  private mergeRateLimits({ asks }: PublishedNews): void {
+  private mergeRateLimits({ asks }: PublishedUpdate): void {
     if (asks) this.parts.asks?.mergeFromRelay(asks);
     this.seenRateLimitVersion = asks?.heard ?? NO_VERSION;
   }
 
   /** Returns an error if an update is too old or reached the relay in a way that rules it out. */
-  private findUnusable(update: PublishedNews): Result<never, ReadFault> | undefined {
+  private findUnusable(update: PublishedUpdate): Result<never, ReadFault> | undefined {
     const { name, parts } = this;
     const { configVersion: relayVersion, heardAgoMs, era } = update;
     if (relayVersion === undefined) return fault('stale', `${name} has read no configuration yet`);
@@ -228,7 +228,7 @@
    */
   private findGap(
     cursor: RelayCursor,
-    update: PublishedNews,
+    update: PublishedUpdate,
   ): Result<never, ReadFault> | undefined {
     if (cursor === START_CURSOR || !update.isWhole) return undefined;
     return fault('missing', `${this.name} no longer has the changes since its last response`);
@@ -238,7 +238,7 @@
    * Returns the configuration state that an update implies. The document is large and is read
    * separately.
    */
-  private configUpdateOf({ configVersion: relayVersion }: PublishedNews): ConfigNews {
+  private configUpdateOf({ configVersion: relayVersion }: PublishedUpdate): ConfigUpdate {
     const ownVersion = this.parts.state.config?.version;
     const isWanted =
       ownVersion === undefined || (ownVersion !== relayVersion && this.parts.wantsConfig());
@@ -250,11 +250,11 @@
  * The relay answered `waitedMs` after the request; its last confirmation and last contact with the
  * store were `provedAgoMs` and `heardAgoMs` before that answer.
  */
-function readTimeOf({ waitedMs, provedAgoMs, heardAgoMs, era }: PublishedNews): ReadTime {
+function readTimeOf({ waitedMs, provedAgoMs, heardAgoMs, era }: PublishedUpdate): ReadTime {
   return { era, confirmedAfterMs: waitedMs - provedAgoMs, contactAfterMs: waitedMs - heardAgoMs };
 }
 
-function changesOf(update: PublishedNews): EndpointChange[] {
+function changesOf(update: PublishedUpdate): EndpointChange[] {
   return [
     ...update.written.map((relayed) => ({
       kind: 'written' as const,
--- a/src/core/published/relay.ts
+++ b/src/core/published/relay.ts
@@ -11,8 +11,8 @@
 import type { CrashEvidence } from '../crashes/index.js';
 import { asId, type EndpointId, type Incarnation } from '../ids/index.js';
 import type {
-  PublishedAsk,
-  PublishedNews,
+  PublishedRequest,
+  PublishedUpdate,
   RelayedEndpoint,
 } from '../../generated/messages.types.js';
 import type { PublishedState } from './published-state.js';
@@ -25,7 +25,7 @@
 const MAX_CHANGES = 512;
 
 /** The fields of an update that concern crashes. */
-type CrashFields = Pick<PublishedNews, 'crashVersion' | 'crashes'>;
+type CrashFields = Pick<PublishedUpdate, 'crashVersion' | 'crashes'>;
 
 /** One change of the list. */
 interface Change {
@@ -73,7 +73,7 @@
   constructor(private readonly deps: RelayDeps) {}
 
   /** Records the changes of the list since the last call and wakes waiting requests. */
-  noteLearnt(): void {
+  recordChanges(): void {
     const list = this.deps.state.listForPeers();
     for (const endpoint of list.values())
       if (!isSameEndpoint(endpoint, this.sentList.get(endpoint.id)))
@@ -99,7 +99,7 @@
    * Responds as soon as there is an update, when the wait is over, or when the state becomes stale.
    * @example await relay.answer({ life: '', sequence: 0, waitMs: 0, wantsProof: true })
    */
-  async answer(request: PublishedAsk): Promise<PublishedNews> {
+  async answer(request: PublishedRequest): Promise<PublishedUpdate> {
     const { clock } = this.deps;
     const askedAtMs = clock.nowMs();
     while (!this.hasUpdate(request)) {
@@ -126,7 +126,7 @@
     });
   }
 
-  private hasUpdate(request: PublishedAsk): boolean {
+  private hasUpdate(request: PublishedRequest): boolean {
     if (!this.canSendChanges(request) || request.sequence !== this.sequence) return true;
     if (this.lacksCrashUpdate(request) || this.lacksRateLimitUpdate(request)) return true;
     const version = this.deps.state.config?.version;
@@ -134,7 +134,7 @@
   }
 
   /** Returns whether the kept changes suffice to bring a client up to date. */
-  private canSendChanges({ life, sequence }: PublishedAsk): boolean {
+  private canSendChanges({ life, sequence }: PublishedRequest): boolean {
     if (life !== this.deps.life || sequence > this.sequence) return false;
     return this.sequence - sequence <= this.changes.length;
   }
@@ -143,17 +143,17 @@
    * Returns the version of the crash evidence that a client has; versions of another incarnation do
    * not count.
    */
-  private seenCrashVersion({ life, crashesHeard = 0 }: PublishedAsk): number {
+  private seenCrashVersion({ life, crashesHeard = 0 }: PublishedRequest): number {
     return life === this.deps.life ? crashesHeard : 0;
   }
 
   /** Returns whether a client asks for crash evidence and has an older version. */
-  private lacksCrashUpdate(request: PublishedAsk): boolean {
+  private lacksCrashUpdate(request: PublishedRequest): boolean {
     if (request.crashesHeard === undefined) return false;
     return this.seenCrashVersion(request) < (this.deps.crashes?.version ?? 0);
   }
 
-  private crashFields(request: PublishedAsk): CrashFields {
+  private crashFields(request: PublishedRequest): CrashFields {
     const { crashes } = this.deps;
     if (!crashes || request.crashesHeard === undefined) return {};
     const fields = { crashVersion: crashes.version };
@@ -165,23 +165,23 @@
    * Returns the version of the declared limits that a client has; versions of another incarnation
    * do not count.
    */
-  private seenRateLimitVersion({ life, asksHeard }: PublishedAsk): number | undefined {
+  private seenRateLimitVersion({ life, asksHeard }: PublishedRequest): number | undefined {
     if (asksHeard === undefined) return undefined;
     return life === this.deps.life ? asksHeard : NO_VERSION;
   }
 
-  private lacksRateLimitUpdate(request: PublishedAsk): boolean {
+  private lacksRateLimitUpdate(request: PublishedRequest): boolean {
     const seenVersion = this.seenRateLimitVersion(request);
     return seenVersion !== undefined && (this.deps.asks?.hasChangesSince(seenVersion) ?? false);
   }
 
-  private rateLimitFields(request: PublishedAsk): Pick<PublishedNews, 'asks'> {
+  private rateLimitFields(request: PublishedRequest): Pick<PublishedUpdate, 'asks'> {
     const seenVersion = this.seenRateLimitVersion(request);
     const asks = seenVersion === undefined ? undefined : this.deps.asks?.deltaSince(seenVersion);
     return asks ? { asks } : {};
   }
 
-  private buildUpdate(request: PublishedAsk, waitedMs: number): PublishedNews {
+  private buildUpdate(request: PublishedRequest, waitedMs: number): PublishedUpdate {
     const { state, clock, life } = this.deps;
     const version = state.config?.version;
     const canSendChanges = this.canSendChanges(request);
@@ -197,7 +197,7 @@
       ...(request.wantsDocument && state.config?.document && { document: state.config.document }),
       era: state.era,
       // Infinite if never recorded, which JSON cannot hold; clients treat the maximum as stale.
-      provedAgoMs: Math.min(state.proofAgeMs(nowMs), Number.MAX_SAFE_INTEGER),
+      provedAgoMs: Math.min(state.confirmedAgoMs(nowMs), Number.MAX_SAFE_INTEGER),
       heardAgoMs: Math.min(state.lastContactAgoMs(nowMs), Number.MAX_SAFE_INTEGER),
       isDirect: this.deps.isDirect(),
       waitedMs,
--- a/src/core/published/relayed-source.ts
+++ b/src/core/published/relayed-source.ts
@@ -4,7 +4,13 @@
 import { Err, Ok, type Result } from '../result/index.js';
 import { readStoreAndRelays } from './first-read.js';
 import { RelayClient, type RelayClientDeps } from './relay-client.js';
-import type { ConfigRead, PublishedRead, PublishedSource, ReadFault, Watched } from './source.js';
+import type {
+  ConfigRead,
+  PublishedRead,
+  PublishedSource,
+  ReadFault,
+  WatchResult,
+} from './source.js';
 
 /**
  * Time for which a failed source is avoided, ms. For a relay it doubles with each consecutive
@@ -21,7 +27,7 @@
 const STARTUP = { withinMs: 700, pauseMs: 200 } as const;
 
 /** Dependencies of `RelayedSource`. A relay itself tries the store before other relays. */
-export interface RelayedParts extends RelayClientDeps {
+export interface RelayedSourceDeps extends RelayClientDeps {
   /** Addresses of the relays in order of preference. */
   readonly relays: readonly string[];
   readonly clock: Clock;
@@ -49,7 +55,7 @@
   /** The source that was read last. */
   private current: Candidate | undefined;
 
-  constructor(private readonly deps: RelayedParts) {
+  constructor(private readonly deps: RelayedSourceDeps) {
     this.store = candidateOf(deps.store);
     this.relayClients = deps.relays.map((address) => new RelayClient(address, deps));
     this.relayCandidates = this.relayClients.map(candidateOf);
@@ -116,7 +122,7 @@
    * Watches the source that was read last; if that fails, everything has to be read again from
    * another source.
    */
-  async watch(revision: number, waitMs: number): Promise<Result<Watched, ReadFault>> {
+  async watch(revision: number, waitMs: number): Promise<Result<WatchResult, ReadFault>> {
     const { current } = this;
     if (!current || this.candidatesInOrder()[0] !== current) return Ok({ kind: 'forgotten' });
     const watched = await current.source.watch(revision, waitMs);
--- a/src/core/published/source.ts
+++ b/src/core/published/source.ts
@@ -20,7 +20,7 @@
   | { readonly kind: 'removed'; readonly id: EndpointId };
 
 /** What a read says about the configuration. */
-export type ConfigNews =
+export type ConfigUpdate =
   | { readonly kind: 'read'; readonly config: PublishedConfig }
   /** A newer version cannot be decoded; the active one is no longer current. */
   | { readonly kind: 'unreadable' }
@@ -50,7 +50,7 @@
 
 /** The whole published state and the store revision from which to watch for changes. */
 export interface PublishedRead extends ReadTime {
-  readonly config: ConfigNews;
+  readonly config: ConfigUpdate;
   readonly endpoints: readonly PublishedEndpoint[];
   readonly revision: number;
   /** Records that were skipped, each with field, value and remedy. */
@@ -59,15 +59,15 @@
 
 /** The configuration alone. */
 export interface ConfigRead extends ReadTime {
-  readonly config: ConfigNews;
+  readonly config: ConfigUpdate;
   readonly invalid: readonly string[];
 }
 
 /** Result of watching for changes. */
-export type Watched =
+export type WatchResult =
   | (ReadTime & {
       readonly kind: 'changes';
-      readonly config: ConfigNews;
+      readonly config: ConfigUpdate;
       /** In the order in which they were made. */
       readonly endpoints: readonly EndpointChange[];
       readonly revision: number;
@@ -85,7 +85,7 @@
   readonly name: string;
   readAll(): Promise<Result<PublishedRead, ReadFault>>;
   /** Waits for changes after a revision; returns none after `waitMs`. */
-  watch(revision: number, waitMs: number): Promise<Result<Watched, ReadFault>>;
+  watch(revision: number, waitMs: number): Promise<Result<WatchResult, ReadFault>>;
   /** Reads the configuration alone, after a newer one was reported as pending. */
   readConfig(): Promise<Result<ConfigRead, ReadFault>>;
 }
--- a/src/core/published/state-updater.ts
+++ b/src/core/published/state-updater.ts
@@ -4,7 +4,7 @@
 import type { Metrics } from '../metrics/index.js';
 import type { ListChange, PublishedState } from './published-state.js';
 import type { SourceHealth } from './source-health.js';
-import type { ConfigNews, PublishedSource } from './source.js';
+import type { ConfigUpdate, PublishedSource } from './source.js';
 import type { PublishedConfig } from './types.js';
 
 /** Dependencies of `StateUpdater`. */
@@ -32,10 +32,10 @@
    * Applies what was received at some time after `askedAtMs`. An unchanged configuration is only
    * confirmed if the active one is the newest.
    */
-  applyConfig(update: ConfigNews, askedAtMs: number): void {
+  applyConfig(update: ConfigUpdate, askedAtMs: number): void {
     if (update.kind === 'read') this.isNewest = this.acceptConfig(update.config, askedAtMs);
     else if (update.kind !== 'same') this.isNewest = false;
-    else if (this.isNewest) this.deps.state.proveConfig(askedAtMs);
+    else if (this.isNewest) this.deps.state.confirmConfig(askedAtMs);
   }
 
   /**
--- a/src/core/published/types.ts
+++ b/src/core/published/types.ts
@@ -59,7 +59,7 @@
   /** Experts that one rank can hold in a layer. */
   readonly slotsPerRank: number;
   /** New experts that one map may assign to a rank in a layer. */
-  readonly mostNew: number;
+  readonly maxNewPerRankAndLayer: number;
   /** Time for one rank to copy an expert, ms. */
   readonly copyMs: number;
   /** Size of an expert, GB. */
--- a/src/daemon/context.ts
+++ b/src/daemon/context.ts
@@ -7,8 +7,8 @@
 import { buildInstanceView, EMPTY_VIEW, type InstanceView } from '../core/membership/index.js';
 import { Metrics } from '../core/metrics/index.js';
 import type { FullSettings } from '../core/settings/index.js';
-import { CONNECT_MS, createPeers } from '../rpc/index.js';
-import { KeptConnections, type DaemonContext } from '../runtime/index.js';
+import { CONNECT_TIMEOUT_MS, createPeers } from '../rpc/index.js';
+import { ConnectionPools, type DaemonContext } from '../runtime/index.js';
 import type { SocketByteCounter } from './socket-bytes.js';
 
 /** How long an idle connection to another daemon stays open, ms. */
@@ -38,8 +38,8 @@
   store.onChange(() => {
     if (store.list && store.list.version !== view.version) view = buildInstanceView(store.list);
   });
-  const connections = new KeptConnections({
-    connect: socketBytes.connector(buildConnector({ timeout: CONNECT_MS })),
+  const connections = new ConnectionPools({
+    connect: socketBytes.connector(buildConnector({ timeout: CONNECT_TIMEOUT_MS })),
     keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     connections: null,
     pipelining: 1,
@@ -63,7 +63,7 @@
     view: () => view,
     peers: createPeers(connections),
     connections,
-    pause,
+    pauseDetector: pause,
     isLeaving: () => shutdown.isRequested || isListedAsLeaving(),
     signal,
   };
--- a/src/daemon/platform-client.ts
+++ b/src/daemon/platform-client.ts
@@ -1,6 +1,6 @@
 /** Read-only client of the platform's configuration service. */
 import type { PlatformClient } from '../core/config-feed/index.js';
-import type { KeptConnections } from '../runtime/index.js';
+import type { ConnectionPools } from '../runtime/index.js';
 
 /** Paths of the configuration document and the instance list. */
 export const PLATFORM_PATHS = { config: '/configuration', list: '/instances' } as const;
@@ -13,7 +13,7 @@
  * within its wait.
  * @example const doc = await createPlatformClient(connections, url).watchConfig(0, 0, signal);
  */
-export function createPlatformClient(connections: KeptConnections, url: string): PlatformClient {
+export function createPlatformClient(connections: ConnectionPools, url: string): PlatformClient {
   const watchPath =
     (path: string) =>
     (knownVersion: number, waitMs: number, signal: AbortSignal): Promise<unknown> => {
--- a/src/daemon/start.ts
+++ b/src/daemon/start.ts
@@ -5,7 +5,7 @@
 import { sleep } from '../core/clock/index.js';
 import { runFeed, type FeedUpdate } from '../core/config-feed/index.js';
 import type { FullSettings } from '../core/settings/index.js';
-import { CONNECT_MS, serveRpc, type DaemonCalls } from '../rpc/index.js';
+import { CONNECT_TIMEOUT_MS, createRpcServer, type RpcHandlers } from '../rpc/index.js';
 import type { DaemonContext } from '../runtime/index.js';
 import { listen } from '../runtime/listen.js';
 import { createDaemonContext, type ShutdownState } from './context.js';
@@ -37,7 +37,7 @@
 /** Longer than the clients' own timeout, so that a client never writes to a connection just closed. */
 const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
-function commonHandlers(ctx: DaemonContext): Pick<DaemonCalls, 'hello' | 'feedWatch'> {
+function commonHandlers(ctx: DaemonContext): Pick<RpcHandlers, 'hello' | 'feedWatch'> {
   return {
     hello: () => ({
       instance: ctx.self,
@@ -47,14 +47,14 @@
     }),
     feedWatch: (input): Promise<FeedUpdate | undefined> => {
       ctx.metrics.count('feed_served_total');
-      return ctx.store.waitNewer(input, input.waitMs);
+      return ctx.store.waitForUpdates(input, input.waitMs);
     },
   };
 }
 
 function createDaemonServer(ctx: DaemonContext, rank: Rank | undefined): Server {
   const handlers = { ...commonHandlers(ctx), ...(rank && { rank: rank.serve }) };
-  return serveRpc(handlers, {
+  return createRpcServer(handlers, {
     maxBytes: MAX_RPC_MESSAGE_BYTES,
     keepAliveMs: KEEP_ALIVE_TIMEOUT_MS,
     onError: (path, code) => ctx.metrics.count('rpc_errors_total', { path, code }),
@@ -85,7 +85,7 @@
       watchPeer: async (address, heldVersions, waitMs, signal) => {
         const signalWithTimeout = AbortSignal.any([
           signal,
-          AbortSignal.timeout(waitMs + CONNECT_MS * 2),
+          AbortSignal.timeout(waitMs + CONNECT_TIMEOUT_MS * 2),
         ]);
         return (await ctx.peers
           .at(address)
@@ -159,7 +159,7 @@
 
   const kill = (): void => {
     abortController.abort();
-    ctx.pause.stop();
+    ctx.pauseDetector.stop();
     entry?.close();
     for (const server of [entry?.gateway.server, daemonServer, operatorServer]) {
       server?.close();
--- a/src/gateway/active-request.ts
+++ b/src/gateway/active-request.ts
@@ -118,7 +118,7 @@
 }
 
 function rateLimitDetail({ ctx, service }: ActiveRequest, untilS: number): string {
-  const count = [...ctx.state.workingOf(service.id)].length;
+  const count = [...ctx.state.availableEndpoints(service.id)].length;
   const reached = `rate limit reached on all ${count} endpoints of service "${service.id}"`;
   if (untilS === Number.POSITIVE_INFINITY) return `${reached}; other entries have the tokens`;
   return `${reached}; next token in ${untilS.toFixed(2)} s`;
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -80,7 +80,7 @@
   const pool = target.connections.current;
   const closeStalled = (stalledMs: number): void => {
     close();
-    if (stalledMs >= STALLED_CONNECTION_MS) target.connections.giveUp(pool);
+    if (stalledMs >= STALLED_CONNECTION_MS) target.connections.replace(pool);
   };
   let hasTimedOut = false;
   const timer = setTimeout(() => {
--- a/src/gateway/backpressure-signals.ts
+++ b/src/gateway/backpressure-signals.ts
@@ -2,7 +2,7 @@
 import type { BackpressureSignals, SignalName } from '../core/backpressure/index.js';
 import { asId } from '../core/ids/index.js';
 import type { LogFields } from '../core/logging/index.js';
-import type { AskNews } from '../generated/messages.types.js';
+import type { BackpressureUpdate } from '../generated/messages.types.js';
 import type { GatewayContext } from './context.js';
 import type { EndpointState } from './endpoints.js';
 import type { ResponseHead } from './types.js';
@@ -92,7 +92,7 @@
  */
 export function applyLeaving(
   { state, log }: Pick<GatewayContext, 'state' | 'log'>,
-  { from, leaving }: Pick<AskNews, 'from' | 'leaving'>,
+  { from, leaving }: Pick<BackpressureUpdate, 'from' | 'leaving'>,
 ): boolean {
   const newFlags = leaving.map(({ endpoint, startedAtMs }) => {
     const isNew = state.noteLeaving({ id: asId(endpoint), startedAtMs });
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -7,7 +7,7 @@
 import { CrashDetector } from './crash-detector.js';
 import { Endpoints, type EndpointsDeps } from './endpoints.js';
 import type { GroupId } from '../core/ids/index.js';
-import type { CrashNews, EndpointProcess } from '../generated/messages.types.js';
+import type { CrashUpdate, EndpointProcess } from '../generated/messages.types.js';
 import type { GroupLoad } from './group-status.js';
 import { ServiceGroups } from './service-groups.js';
 import type { ServiceState } from './service-state.js';
@@ -21,7 +21,7 @@
   /** Clock for ages and deadlines; also advances while the machine is suspended. */
   readonly ageClock: Clock;
   /** Sends other entries the requests that crashed endpoints here. */
-  readonly broadcastCrashes: (update: CrashNews) => void;
+  readonly broadcastCrashes: (update: CrashUpdate) => void;
   /** Sends other entries an endpoint's announcement that it is leaving. */
   readonly broadcastLeaving: (endpoint: EndpointProcess) => void;
   /** Returns the retries allowed per request, over all entries; read at each request. */
@@ -83,7 +83,7 @@
           clock: ageClock,
           dataCentre: deps.dataCentre,
           engine,
-          endpoints: () => state.workingOf(id),
+          endpoints: () => state.availableEndpoints(id),
           groupOf: deps.groupOf,
           loadOf: deps.groupLoad,
           isAvailable: (endpoint) => endpoints.isAvailable(endpoint),
@@ -95,7 +95,7 @@
     endpoints,
     crashes: new CrashDetector({ ...deps, clock: ageClock, publish: deps.broadcastCrashes }),
     areKeysConfirmed: () =>
-      state.proofAgeMs(ageClock.nowMs()) <= settings.keyFreshnessMs - KEY_FRESHNESS_MARGIN_MS,
+      state.confirmedAgoMs(ageClock.nowMs()) <= settings.keyFreshnessMs - KEY_FRESHNESS_MARGIN_MS,
     serviceOf: (id) => {
       const known = services.get(id);
       if (known) return known;
--- a/src/gateway/crash-detector.ts
+++ b/src/gateway/crash-detector.ts
@@ -8,7 +8,7 @@
 import type { Log } from '../core/logging/index.js';
 import type { Metrics } from '../core/metrics/index.js';
 import { hostOf, portOf, type PublishedEndpoint } from '../core/published/index.js';
-import type { CrashNews } from '../generated/messages.types.js';
+import type { CrashUpdate } from '../generated/messages.types.js';
 import type { AttemptFault, GatewayRequest } from './types.js';
 
 /**
@@ -24,7 +24,7 @@
   readonly log: Log;
   readonly metrics: Metrics;
   /** Publishes crash updates to other entries. */
-  readonly publish: (update: CrashNews) => void;
+  readonly publish: (update: CrashUpdate) => void;
 }
 
 /** Whether connections to an address are refused. */
--- a/src/gateway/endpoints.ts
+++ b/src/gateway/endpoints.ts
@@ -11,7 +11,7 @@
   ServiceId,
 } from '../core/published/index.js';
 import { EndpointHealth } from '../core/routing/index.js';
-import { FreshPool } from '../runtime/replaceable-pool.js';
+import { ReplaceablePool } from '../runtime/replaceable-pool.js';
 import { createEndpointConnector } from './connect.js';
 import type { EngineStatus } from './group-status.js';
 import { ASSUMED_CONNECTION_PEERS, IDLE_CONNECTION_TIMEOUT_MS, MAX_CONNECTIONS } from './consts.js';
@@ -58,7 +58,7 @@
 /** State of one endpoint process at this entry. */
 export interface EndpointState {
   readonly endpoint: PublishedEndpoint;
-  readonly connections: FreshPool;
+  readonly connections: ReplaceablePool;
   readonly health: EndpointHealth;
   /** Admits requests according to the endpoint's backpressure signals. */
   readonly gate: EndpointGate;
@@ -134,7 +134,7 @@
     const nowMs = this.deps.clock.nowMs();
     let best: EndpointState | undefined;
     let bestScore = Number.POSITIVE_INFINITY;
-    for (const endpoint of this.deps.state.workingOf(service)) {
+    for (const endpoint of this.deps.state.availableEndpoints(service)) {
       if (tried.has(endpoint.id) || !mayTake(endpoint)) continue;
       const state = this.stateOf(endpoint);
       if (state.gate.opening(nowMs).atMs > nowMs) continue;
@@ -165,7 +165,7 @@
   firstOpening(service: ServiceId): Opening | undefined {
     const nowMs = this.deps.clock.nowMs();
     let first: Opening | undefined;
-    for (const endpoint of this.deps.state.workingOf(service)) {
+    for (const endpoint of this.deps.state.availableEndpoints(service)) {
       const opening = this.stateOf(endpoint).gate.opening(nowMs);
       if (!first || opening.atMs < first.atMs) first = opening;
     }
@@ -210,7 +210,7 @@
     const share = Math.floor((service?.maxConnections ?? 0) / ASSUMED_CONNECTION_PEERS);
     const created: EndpointState = {
       endpoint,
-      connections: new FreshPool(`http://${endpoint.address}`, {
+      connections: new ReplaceablePool(`http://${endpoint.address}`, {
         connections: Math.max(2, Math.min(MAX_CONNECTIONS, share)),
         pipelining: 1,
         connect: createEndpointConnector(),
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -63,7 +63,7 @@
   }
 
   function refuseStaleConfig(): Result<never, Refusal> {
-    const ageMs = Math.round(state.proofAgeMs(ageClock.nowMs()));
+    const ageMs = Math.round(state.confirmedAgoMs(ageClock.nowMs()));
     return refusal(
       'proof-old',
       `the configuration was last confirmed as current ${ageMs} ms ago; retry, another entry may serve the request`,
@@ -73,7 +73,7 @@
 
   /** Whether the configuration may be outdated: a missing route or key cannot be reported as unknown then. */
   function mayBeOutdated(): boolean {
-    return state.proofAgeMs(ageClock.nowMs()) > settings.configApplyMs;
+    return state.confirmedAgoMs(ageClock.nowMs()) > settings.configApplyMs;
   }
 
   /** Returns the organisation of a request; a key counts only while the configuration is confirmed as current. */
@@ -141,7 +141,7 @@
       organisation: req?.organisation?.id,
       service: note.service || undefined,
       config: state.config?.version,
-      proofMs: Math.round(state.proofAgeMs(ageClock.nowMs())),
+      proofMs: Math.round(state.confirmedAgoMs(ageClock.nowMs())),
       tries: note.tries.join(',') || undefined,
       returning: note.isReturning || undefined,
       waitsMs: req?.head.deadlineMs,
--- a/src/gateway/limit-shares.ts
+++ b/src/gateway/limit-shares.ts
@@ -19,7 +19,7 @@
 
 /** Position of an endpoint among those of its service sorted by id, 0 to below 1. */
 function ringPositionOf(state: PublishedState, { id, service }: PublishedEndpoint): number {
-  const ids = [...state.workingOf(service)].map((endpoint) => endpoint.id);
+  const ids = [...state.availableEndpoints(service)].map((endpoint) => endpoint.id);
   const before = ids.filter((other) => other < id).length;
   return before / Math.max(1, ids.length);
 }
--- a/src/gateway/process.ts
+++ b/src/gateway/process.ts
@@ -7,7 +7,7 @@
 import { Metrics } from '../core/metrics/index.js';
 import {
   entryPace,
-  ENTRY_RELAYED,
+  ENTRY_RELAYED_PACE,
   followPublished,
   PublishedRelay,
   PublishedState,
@@ -16,14 +16,14 @@
   type PublishedStore,
 } from '../core/published/index.js';
 import type { Result } from '../core/result/index.js';
-import type { AskNews } from '../generated/messages.types.js';
-import { askRelay, createPeers } from '../rpc/peers.js';
-import type { DaemonCalls } from '../rpc/router.js';
-import { serveRpc } from '../rpc/serve.js';
-import { noteStep } from '../runtime/clock-steps.js';
-import { KeptConnections } from '../runtime/connection-pools.js';
+import type { BackpressureUpdate } from '../generated/messages.types.js';
+import { requestFromRelay, createPeers } from '../rpc/peers.js';
+import type { RpcHandlers } from '../rpc/router.js';
+import { createRpcServer } from '../rpc/serve.js';
+import { reportClockSteps } from '../runtime/clock-steps.js';
+import { ConnectionPools } from '../runtime/connection-pools.js';
 import { listen } from '../runtime/listen.js';
-import { relayPlace } from '../runtime/relays.js';
+import { orderRelays } from '../runtime/relays.js';
 import { watchSettings } from '../runtime/settings-watch.js';
 import { STOP_ABORT_MS, STOP_POLL_MS, STOP_SERVING_MS } from './consts.js';
 import { applyLeaving } from './backpressure-signals.js';
@@ -68,13 +68,13 @@
   const metrics = new Metrics();
   const state = new PublishedState();
   const { dataCentre } = settings;
-  const ageClock = new SuspensionClock(systemClock, noteStep(log, metrics));
+  const ageClock = new SuspensionClock(systemClock, reportClockSteps(log, metrics));
   const sharedDeps = { state, random: Math.random, log, metrics, dataCentre, clock: systemClock };
   /** For components that keep state received from others: its age includes suspension of the machine. */
   const agingDeps = { ...sharedDeps, clock: ageClock };
   const shutdown = new AbortController();
-  const peers = createPeers(new KeptConnections({ connect: { timeout: PEER_CONNECT_TIMEOUT_MS } }));
-  const relayRole = relayPlace(settings);
+  const peers = createPeers(new ConnectionPools({ connect: { timeout: PEER_CONNECT_TIMEOUT_MS } }));
+  const relayRole = orderRelays(settings);
   const groups = new GroupStatus({
     ...agingDeps,
     port: settings.internalPort,
@@ -87,7 +87,7 @@
     onUpdate: (service, group) => ctx.serviceOf(service).groups?.queueOf(group).noteCompletePoll(),
   });
   const broadcastDeps = { relays: relayRole.relays, log };
-  const sendUpdate = (address: string, update: AskNews): Promise<void> =>
+  const sendUpdate = (address: string, update: BackpressureUpdate): Promise<void> =>
     peers.at(address).asks.mutate(update, { signal: AbortSignal.timeout(SEND_TIMEOUT_MS) });
   const broadcastLeaving = createRelayBroadcast({
     ...broadcastDeps,
@@ -113,7 +113,7 @@
       event: 'crash.untold',
     }),
     broadcastLeaving: (endpoint) => {
-      relay.noteLearnt();
+      relay.recordChanges();
       broadcastLeaving({ from: settings.instance, leaving: [endpoint], limits: [] });
     },
     limits: rateLimits.gossip.limits,
@@ -132,9 +132,9 @@
     ...agingDeps,
     store: deps.store,
     ...relayRole,
-    ask: askRelay(peers),
+    ask: requestFromRelay(peers),
     pause: sleep,
-    pace: ENTRY_RELAYED,
+    pace: ENTRY_RELAYED_PACE,
     wantsConfig: () => true,
     crashes,
     asks: rateLimits.gossip,
@@ -146,9 +146,9 @@
     crashes,
     asks: rateLimits.gossip,
   });
-  const onReceived = (): void => relay.noteLearnt();
+  const onReceived = (): void => relay.recordChanges();
   const pace = relayRole.isRelay ? RELAY_PACE : entryPace(settings.contactMs);
-  void followPublished({ ...agingDeps, source, pace, onLearnt: onReceived }, shutdown.signal);
+  void followPublished({ ...agingDeps, source, pace, onRefresh: onReceived }, shutdown.signal);
   void groups.run(shutdown.signal);
   setInterval(() => ctx.endpoints.prune(), PRUNE_INTERVAL_MS).unref();
   setInterval(() => logSlotQueues(ctx), SLOT_LOG_INTERVAL_MS).unref();
@@ -157,7 +157,7 @@
   process.on('SIGTERM', () => {
     void stop(gateway, settings, log).then(() => process.exit(0));
   });
-  const calls: DaemonCalls = {
+  const calls: RpcHandlers = {
     published: (request) => relay.answer(request),
     crashes: (update) => {
       if (crashes.merge(update)) relay.wake();
@@ -165,7 +165,7 @@
     token: (request) => rateLimits.grant(request),
     asks: (update) => {
       rateLimits.merge(update);
-      if (applyLeaving(ctx, update)) relay.noteLearnt();
+      if (applyLeaving(ctx, update)) relay.recordChanges();
     },
   };
   await listenAll(deps, gateway, metrics, calls);
@@ -186,7 +186,7 @@
   deps: ProcessDeps,
   gateway: Gateway,
   metrics: Metrics,
-  calls: DaemonCalls,
+  calls: RpcHandlers,
 ): Promise<void> {
   const { callers, control, ready: readyAddress, ip } = deps.settings;
   const readyServer = createServer((req, res) => {
@@ -198,7 +198,7 @@
     res.writeHead(found ? 200 : 404, { 'content-type': 'text/plain; version=0.0.4' });
     res.end(found ? metrics.print() : '');
   });
-  if (control) await listen(serveRpc(calls), control);
+  if (control) await listen(createRpcServer(calls), control);
   if (callers) await listen(gateway.server, callers);
   if (readyAddress) await listen(readyServer, readyAddress);
   await listen(metricsServer, { host: ip, port: METRICS_PORT });
--- a/src/gateway/rate-limits.ts
+++ b/src/gateway/rate-limits.ts
@@ -13,7 +13,11 @@
 import type { Log } from '../core/logging/index.js';
 import type { Metrics } from '../core/metrics/index.js';
 import type { PublishedEndpoint, PublishedState } from '../core/published/index.js';
-import type { AskNews, TokenGrant, TokenRequest } from '../generated/messages.types.js';
+import type {
+  BackpressureUpdate,
+  RateLimitTokenReply,
+  RateLimitTokenRequest,
+} from '../generated/messages.types.js';
 import type { Peers } from '../rpc/peers.js';
 import type { InstanceSettings } from './types.js';
 
@@ -32,7 +36,7 @@
   readonly relays: readonly string[];
   readonly countKnown: () => number;
   /** Sends an update to a relay; rejects if it is not acknowledged in time. */
-  readonly sendUpdate: (relay: string, update: AskNews) => Promise<void>;
+  readonly sendUpdate: (relay: string, update: BackpressureUpdate) => Promise<void>;
   /** Called on a change that daemons waiting for updates from this entry must receive. */
   readonly onChange: () => void;
 }
@@ -42,9 +46,9 @@
   readonly gossip: RateLimitGossip;
   limiterOf(endpoint: PublishedEndpoint): RateLimiter;
   /** Answers another entry's request for a token. */
-  grant(request: TokenRequest): TokenGrant;
+  grant(request: RateLimitTokenRequest): RateLimitTokenReply;
   /** Merges another entry's update. */
-  merge(update: AskNews): void;
+  merge(update: BackpressureUpdate): void;
   /** Sends pending updates; call every few hundred ms. */
   flush(): void;
 }
--- a/src/gateway/refuse.ts
+++ b/src/gateway/refuse.ts
@@ -5,7 +5,7 @@
   MAY_HAVE_RUN_REASONS,
   notRun,
   toProblem,
-  unknown,
+  outcomeUnknown,
   type Reason,
 } from '../core/errors/index.js';
 import type { Metrics } from '../core/metrics/index.js';
@@ -33,7 +33,7 @@
     res.destroy();
     return false;
   }
-  const makeError = outcome === 'unknown' ? unknown : notRun;
+  const makeError = outcome === 'unknown' ? outcomeUnknown : notRun;
   const problem = toProblem(makeError(reason, detail, retryAfterS));
   const body = JSON.stringify(problem);
   res.writeHead(ERROR_KINDS[reason].status, {
--- a/src/group/agent-process.ts
+++ b/src/group/agent-process.ts
@@ -9,7 +9,7 @@
 import { Metrics } from '../core/metrics/index.js';
 import {
   AGENT_PACE,
-  AGENT_RELAYED,
+  AGENT_RELAYED_PACE,
   followPublished,
   hostOf,
   PublishedState,
@@ -18,15 +18,15 @@
 } from '../core/published/index.js';
 import { errorText, type HarriergladeError } from '../core/errors/index.js';
 import type { Result } from '../core/result/index.js';
-import { noteStep } from '../runtime/clock-steps.js';
-import { KeptConnections } from '../runtime/connection-pools.js';
+import { reportClockSteps } from '../runtime/clock-steps.js';
+import { ConnectionPools } from '../runtime/connection-pools.js';
 import { listen } from '../runtime/listen.js';
 import { watchSettings } from '../runtime/settings-watch.js';
 import type { GroupDigest } from '../generated/messages.types.js';
-import { askRelay, createPeers } from '../rpc/peers.js';
-import { CONNECT_MS } from '../rpc/consts.js';
-import { serveRpc } from '../rpc/serve.js';
-import { relayPlace } from '../runtime/relays.js';
+import { requestFromRelay, createPeers } from '../rpc/peers.js';
+import { CONNECT_TIMEOUT_MS } from '../rpc/consts.js';
+import { createRpcServer } from '../rpc/serve.js';
+import { orderRelays } from '../runtime/relays.js';
 import type { InstanceSettings } from '../gateway/types.js';
 import { ActiveEntries } from './active-entries.js';
 import { changePauseMs, MAX_DIGEST_AGE_MS, OWN_ENGINE_POLL_INTERVAL_MS } from './consts.js';
@@ -60,7 +60,7 @@
   const metrics = new Metrics();
   const state = new PublishedState();
   const sharedDeps = { clock, random: Math.random, log, metrics };
-  const ageClock = new SuspensionClock(clock, noteStep(log, metrics));
+  const ageClock = new SuspensionClock(clock, reportClockSteps(log, metrics));
   /**
    * For components that hold received data: their clock keeps counting while the instance is
    * suspended, so that the data still ages.
@@ -68,15 +68,15 @@
   const suspensionAwareDeps = { ...sharedDeps, clock: ageClock };
   const shutdown = new AbortController();
   const group = new OwnGroup(state, ownEndpoint, settings.internalPort);
-  const peers = createPeers(new KeptConnections({ connect: { timeout: CONNECT_MS } }));
+  const peers = createPeers(new ConnectionPools({ connect: { timeout: CONNECT_TIMEOUT_MS } }));
   const source = new RelayedSource({
     ...suspensionAwareDeps,
     state,
     store: deps.store,
-    ...relayPlace(settings),
-    ask: askRelay(peers),
+    ...orderRelays(settings),
+    ask: requestFromRelay(peers),
     pause: sleep,
-    pace: AGENT_RELAYED,
+    pace: AGENT_RELAYED_PACE,
     wantsConfig: () => group.lacksEngineInfo(),
   });
   void followPublished(
@@ -92,7 +92,7 @@
           return changePauseMs(group.agents().length, group.isComplete());
         },
       },
-      isLacking: () => group.lacksEngineInfo(),
+      needsFullRead: () => group.lacksEngineInfo(),
     },
     shutdown.signal,
   );
@@ -174,7 +174,7 @@
     callBranch: (forwarder, order, timeoutMs) =>
       peers.at(forwarder).branch.mutate(order, { signal: AbortSignal.timeout(timeoutMs) }),
   });
-  const server = serveRpc({
+  const server = createRpcServer({
     rank: serveRank,
     branch: (order) => serveBranch(callAgent, order),
     group: (request) => {
--- a/src/group/fan-out.ts
+++ b/src/group/fan-out.ts
@@ -10,7 +10,7 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { Clock } from '../core/clock/index.js';
 import { packCounts, type RankOrder, type RankReply } from '../core/groups/index.js';
-import type { BranchOrder, BranchReply } from '../generated/messages.types.js';
+import type { ForwardedOrder, ForwardedReplies } from '../generated/messages.types.js';
 import { isRankOrder } from '../generated/messages.validator.js';
 import {
   MAX_BRANCH_SIZE,
@@ -21,7 +21,7 @@
 import { sumCounts } from './group-view.js';
 
 /** One recipient of an order, with the fields of the order that are specific to it. */
-export type Member = BranchOrder['members'][number];
+export type Member = ForwardedOrder['members'][number];
 
 /** Sends an order to the agent at an address; rejects when it does not reply in time. */
 export type CallAgent = (
@@ -33,9 +33,9 @@
 /** Sends an order to the agent that forwards it; rejects when that agent does not reply in time. */
 export type CallBranch = (
   forwarder: string,
-  order: BranchOrder,
+  order: ForwardedOrder,
   timeoutMs: number,
-) => Promise<BranchReply>;
+) => Promise<ForwardedReplies>;
 
 /** Replies in the order of the members; undefined for a member that did not reply in time. */
 export type Replies = (RankReply | undefined)[];
@@ -95,7 +95,10 @@
  * Forwards an order to the members of a branch and returns their replies; rejects an invalid order.
  * @example router.branch = (order) => serveBranch(call, order)
  */
-export async function serveBranch(call: CallAgent, branch: BranchOrder): Promise<BranchReply> {
+export async function serveBranch(
+  call: CallAgent,
+  branch: ForwardedOrder,
+): Promise<ForwardedReplies> {
   const order = unpack(branch.order);
   if (!isRankOrder(order))
     throw new Error(
--- a/src/group/map-planner.ts
+++ b/src/group/map-planner.ts
@@ -62,7 +62,7 @@
     const plan = planRound(current, demand, {
       slotsPerRank: engine.slotsPerRank,
       maxNewPerRank: maxNewPerRound(engine),
-      maxNewPerRankAndLayer: engine.mostNew,
+      maxNewPerRankAndLayer: engine.maxNewPerRankAndLayer,
       minGainPerCopy: minGainPerCopy(engine, totalLoad(replies)),
       pace: replies.map((reply) => reply.pace ?? 1),
     });
--- a/src/group/round-policy.ts
+++ b/src/group/round-policy.ts
@@ -9,7 +9,7 @@
  * @example maxNewPerRound({ ...engine, copyMs: 14 }) // 11
  */
 export function maxNewPerRound(engine: EngineInfo): number {
-  if (engine.copyMs <= 0) return engine.mostNew * Math.max(1, engine.layers);
+  if (engine.copyMs <= 0) return engine.maxNewPerRankAndLayer * Math.max(1, engine.layers);
   return Math.max(1, Math.floor(ROUND_COPY_BUDGET_MS / engine.copyMs));
 }
 
--- a/src/rpc/consts.ts
+++ b/src/rpc/consts.ts
@@ -3,4 +3,4 @@
 /** Path prefix of the tRPC procedures. */
 export const RPC_PATH = '/rpc/';
 /** Connect timeout to another daemon, ms. */
-export const CONNECT_MS = 1000;
+export const CONNECT_TIMEOUT_MS = 1000;
--- a/src/rpc/peers.ts
+++ b/src/rpc/peers.ts
@@ -1,9 +1,9 @@
 /** tRPC clients of other daemons, one per address, over shared keep-alive connections. */
 import { createTRPCClient, httpLink, type TRPCClient } from '@trpc/client';
 import type { Dispatcher } from 'undici';
-import { isGivenUp } from '../core/errors/index.js';
-import type { AskRelay } from '../core/published/index.js';
-import type { KeptConnections } from '../runtime/connection-pools.js';
+import { isAbortOrTimeout } from '../core/errors/index.js';
+import type { SendRelayRequest } from '../core/published/index.js';
+import type { ConnectionPools } from '../runtime/connection-pools.js';
 import { RPC_PATH } from './consts.js';
 import type { DaemonRouter } from './router.js';
 
@@ -19,7 +19,7 @@
  * Returns a function that requests the published state from a relay.
  * @example new RelayedSource({ ...deps, ask: requestFromRelay(peers) })
  */
-export function askRelay(peers: Peers): AskRelay {
+export function requestFromRelay(peers: Peers): SendRelayRequest {
   return (address, request, timeoutMs) =>
     peers.at(address).published.query(request, { signal: AbortSignal.timeout(timeoutMs) });
 }
@@ -39,7 +39,7 @@
  * The subset of fetch that tRPC needs, on keep-alive connections: the full fetch costs several
  * times as much CPU time per call (docs/EXPERIMENTS.md).
  */
-function createFetch(connections: KeptConnections) {
+function createFetch(connections: ConnectionPools) {
   return (url: string, init: FetchOptions = {}): Promise<object> => {
     const { origin, pathname, search } = new URL(url);
     const request = {
@@ -56,7 +56,7 @@
     };
     // tRPC reports a timeout as a plain abort, so every abort counts as an unresponsive connection.
     // Other aborts come only when the calling task ends, where new connections cost little.
-    return connections.call(request, readResponse, isGivenUp);
+    return connections.call(request, readResponse, isAbortOrTimeout);
   };
 }
 
@@ -64,7 +64,7 @@
  * Creates the clients on first use; they are cached and hold no connections of their own.
  * @example await peers.at('127.0.0.1:7001').hello.query(undefined, { signal })
  */
-export function createPeers(connections: KeptConnections): Peers {
+export function createPeers(connections: ConnectionPools): Peers {
   const clients = new Map<string, PeerClient>();
   const fetch = createFetch(connections) as never;
   return {
--- a/src/rpc/router.ts
+++ b/src/rpc/router.ts
@@ -2,49 +2,49 @@
 import { initTRPC, TRPCError } from '@trpc/server';
 import type { FeedUpdate } from '../core/config-feed/index.js';
 import type {
-  AskNews,
-  BranchOrder,
-  BranchReply,
-  CrashNews,
-  FeedWatchInput,
-  GroupAsk,
+  BackpressureUpdate,
+  ForwardedOrder,
+  ForwardedReplies,
+  CrashUpdate,
+  FeedWatchRequest,
+  GroupDigestRequest,
   GroupDigest,
-  HelloAnswer,
-  PublishedAsk,
-  PublishedNews,
+  HelloReply,
+  PublishedRequest,
+  PublishedUpdate,
   RankOrder,
   RankReply,
-  TokenGrant,
-  TokenRequest,
+  RateLimitTokenReply,
+  RateLimitTokenRequest,
 } from '../generated/messages.types.js';
 import {
-  isAskNews,
-  isBranchOrder,
-  isCrashNews,
-  isFeedWatchInput,
-  isGroupAsk,
-  isPublishedAsk,
+  isBackpressureUpdate,
+  isForwardedOrder,
+  isCrashUpdate,
+  isFeedWatchRequest,
+  isGroupDigestRequest,
+  isPublishedRequest,
   isRankOrder,
-  isTokenRequest,
+  isRateLimitTokenRequest,
 } from '../generated/messages.validator.js';
 
 /** Handlers of the calls from other daemons; each role implements some of them. */
-export interface DaemonCalls {
-  hello?(): HelloAnswer;
-  feedWatch?(input: FeedWatchInput): Promise<FeedUpdate | undefined>;
+export interface RpcHandlers {
+  hello?(): HelloReply;
+  feedWatch?(input: FeedWatchRequest): Promise<FeedUpdate | undefined>;
   rank?(order: RankOrder): Promise<RankReply>;
   /** Forwards an order to other members of the group. */
-  branch?(order: BranchOrder): Promise<BranchReply>;
+  branch?(order: ForwardedOrder): Promise<ForwardedReplies>;
   /** The published state as this daemon knows it; long poll, held until there is an update. */
-  published?(ask: PublishedAsk): Promise<PublishedNews>;
+  published?(ask: PublishedRequest): Promise<PublishedUpdate>;
   /** Merges another entry's observations of requests that crash endpoints. */
-  crashes?(news: CrashNews): void;
+  crashes?(news: CrashUpdate): void;
   /** Merges the backpressure signals that another entry received from endpoints. */
-  asks?(news: AskNews): void;
+  asks?(news: BackpressureUpdate): void;
   /** Grants a token for a request to an endpoint with a rate limit. */
-  token?(request: TokenRequest): TokenGrant;
+  token?(request: RateLimitTokenRequest): RateLimitTokenReply;
   /** The group's last known state; undefined before the first poll. */
-  group?(ask: GroupAsk): GroupDigest | undefined;
+  group?(ask: GroupDigestRequest): GroupDigest | undefined;
 }
 
 const trpc = initTRPC.create();
@@ -73,32 +73,32 @@
  * @example createHTTPHandler({ router: buildRouter(handlers), basePath: RPC_PATH })
  */
 // The return type is inferred: DaemonRouter names it, and clients derive their types from it.
-export function buildRouter(handlers: DaemonCalls) {
+export function buildRouter(handlers: RpcHandlers) {
   return trpc.router({
     hello: trpc.procedure.query(() => requireHandler(handlers.hello)()),
     feedWatch: trpc.procedure
-      .input(inputParser(isFeedWatchInput))
+      .input(inputParser(isFeedWatchRequest))
       .query(({ input }) => requireHandler(handlers.feedWatch)(input)),
     group: trpc.procedure
-      .input(inputParser(isGroupAsk))
+      .input(inputParser(isGroupDigestRequest))
       .query(({ input }) => requireHandler(handlers.group)(input)),
     rank: trpc.procedure
       .input(inputParser(isRankOrder))
       .mutation(({ input }) => requireHandler(handlers.rank)(input)),
     published: trpc.procedure
-      .input(inputParser(isPublishedAsk))
+      .input(inputParser(isPublishedRequest))
       .query(({ input }) => requireHandler(handlers.published)(input)),
     crashes: trpc.procedure
-      .input(inputParser(isCrashNews))
+      .input(inputParser(isCrashUpdate))
       .mutation(({ input }) => requireHandler(handlers.crashes)(input)),
     asks: trpc.procedure
-      .input(inputParser(isAskNews))
+      .input(inputParser(isBackpressureUpdate))
       .mutation(({ input }) => requireHandler(handlers.asks)(input)),
     token: trpc.procedure
-      .input(inputParser(isTokenRequest))
+      .input(inputParser(isRateLimitTokenRequest))
       .mutation(({ input }) => requireHandler(handlers.token)(input)),
     branch: trpc.procedure
-      .input(inputParser(isBranchOrder))
+      .input(inputParser(isForwardedOrder))
       .mutation(({ input }) => requireHandler(handlers.branch)(input)),
   });
 }
--- a/src/rpc/serve.ts
+++ b/src/rpc/serve.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server } from 'node:http';
 import { createHTTPHandler } from '@trpc/server/adapters/standalone';
 import { RPC_PATH } from './consts.js';
-import { buildRouter, type DaemonCalls } from './router.js';
+import { buildRouter, type RpcHandlers } from './router.js';
 
 /** Default message limit, bytes: a map of 16 layers, 129 ranks and 3 experts takes 12 KB. */
 const DEFAULT_MAX_MESSAGE_BYTES = 1024 * 1024;
@@ -21,8 +21,8 @@
  * Creates an HTTP server for some handlers; it does not listen yet.
  * @example await listen(createRpcServer({ rank: serveRank }), { host: '10.1.0.43', port: 7340 });
  */
-export function serveRpc(
-  handlers: DaemonCalls,
+export function createRpcServer(
+  handlers: RpcHandlers,
   { maxBytes = DEFAULT_MAX_MESSAGE_BYTES, keepAliveMs, onError }: RpcServerOptions = {},
 ): Server {
   const handler = createHTTPHandler({
--- a/src/runtime/connection-pools.ts
+++ b/src/runtime/connection-pools.ts
@@ -1,7 +1,7 @@
 /** Keep-alive connections to many origins, such as other daemons and the platform. */
 import type { Dispatcher, Pool } from 'undici';
 import { isTimeout } from '../core/errors/index.js';
-import { FreshPool } from './replaceable-pool.js';
+import { ReplaceablePool } from './replaceable-pool.js';
 
 /** Origins with a pool at once: more than any fleet has daemons. */
 const MAX_ORIGINS = 4096;
@@ -10,8 +10,8 @@
 export type OriginRequest = Dispatcher.RequestOptions & { readonly origin: string };
 
 /** Connection pools by origin; the pool of an unresponsive origin is replaced. */
-export class KeptConnections {
-  private readonly pools = new Map<string, FreshPool>();
+export class ConnectionPools {
+  private readonly pools = new Map<string, ReplaceablePool>();
 
   constructor(private readonly options: Pool.Options) {}
 
@@ -30,7 +30,7 @@
     try {
       return await read(await pool.request(call));
     } catch (err) {
-      if (isUnresponsive(err)) originPool.giveUp(pool);
+      if (isUnresponsive(err)) originPool.replace(pool);
       throw err;
     }
   }
@@ -41,11 +41,11 @@
     this.pools.clear();
   }
 
-  private poolFor(origin: string): FreshPool {
+  private poolFor(origin: string): ReplaceablePool {
     const existing = this.pools.get(origin);
     if (existing) return existing;
     this.dropOldest();
-    const created = new FreshPool(origin, this.options);
+    const created = new ReplaceablePool(origin, this.options);
     this.pools.set(origin, created);
     return created;
   }
--- a/src/runtime/context.ts
+++ b/src/runtime/context.ts
@@ -1,5 +1,5 @@
 /** The context that the components of one daemon share. */
-import type { KeptConnections } from './connection-pools.js';
+import type { ConnectionPools } from './connection-pools.js';
 import type { Clock, pauseDetector, Random } from '../core/clock/index.js';
 import type { FeedStore } from '../core/config-feed/index.js';
 import type { Incarnation, InstanceId } from '../core/ids/index.js';
@@ -22,8 +22,8 @@
   readonly store: FeedStore;
   readonly view: () => InstanceView;
   readonly peers: Peers;
-  readonly connections: KeptConnections;
-  readonly pause: ReturnType<typeof pauseDetector>;
+  readonly connections: ConnectionPools;
+  readonly pauseDetector: ReturnType<typeof pauseDetector>;
   /** Whether this instance takes no new requests: a stop was requested, or it is listed as leaving. */
   readonly isLeaving: () => boolean;
   /** Aborted when the daemon stops. */
--- a/src/runtime/relays.ts
+++ b/src/runtime/relays.ts
@@ -1,6 +1,6 @@
 /** Selects the relays from which a daemon receives the published state. */
 import { rendezvousOrder } from '../core/membership/rendezvous.js';
-import type { RelayedParts } from '../core/published/index.js';
+import type { RelayedSourceDeps } from '../core/published/index.js';
 import type { InstanceSettings } from '../gateway/types.js';
 
 /**
@@ -9,12 +9,12 @@
  * load is even across relays, and a failed relay's load spreads evenly over the others.
  * @example new RelayedSource({ ...deps, ...orderRelays(settings) })
  */
-export function relayPlace({
+export function orderRelays({
   instance,
   control,
   relays,
 }: Pick<InstanceSettings, 'instance' | 'control' | 'relays'>): Pick<
-  RelayedParts,
+  RelayedSourceDeps,
   'relays' | 'isRelay'
 > & { readonly own: string | undefined } {
   const own = control && `${control.host}:${control.port}`;
--- a/src/runtime/replaceable-pool.ts
+++ b/src/runtime/replaceable-pool.ts
@@ -9,7 +9,7 @@
  * so that 16 of 48 daemons acted on stale state for up to 3.2 s past the bound; a request that may
  * run only once is lost on each. A timeout therefore retires every connection open at that time.
  */
-export class FreshPool {
+export class ReplaceablePool {
   private pool: Pool;
 
   constructor(
@@ -29,7 +29,7 @@
    * flight on the old pool may complete; its idle connections are closed.
    * @example const pool = pools.current; await pool.request(call).catch(() => pools.replace(pool));
    */
-  giveUp(pool: Pool): boolean {
+  replace(pool: Pool): boolean {
     if (pool !== this.pool) return false;
     this.pool = new Pool(this.origin, this.options);
     void pool.close();
--- a/test/caller-api/caller-api.test.ts
+++ b/test/caller-api/caller-api.test.ts
@@ -19,7 +19,7 @@
 import { buildInstanceView } from '../../src/core/membership/index.js';
 import { Metrics } from '../../src/core/metrics/index.js';
 import type { GatewayRequest } from '../../src/gateway/index.js';
-import { plainBody, plainDocument } from '../fixtures/configuration.js';
+import { sampleBody, sampleDocument } from '../fixtures/configuration.js';
 
 const LIMITS = { headerBytes: 1000, bodyBytes: 1000, headerMs: 1000, idleMs: 1000 };
 const chat = (data: object): Buffer => Buffer.from(JSON.stringify(data));
@@ -29,19 +29,19 @@
   return new OrganisationLimits({
     clock: systemClock,
     metrics: new Metrics(),
-    body: plainBody,
+    body: sampleBody,
     liveEntries: () => 1,
     maxOpenRequests: mostOpen,
   });
 }
 
 const api = createCallerApi({
-  body: plainBody,
+  body: sampleBody,
   nextRequestId: () => 'r1',
   timeoutMs: 30_000,
   limits: createLimits(),
 });
-const config = toPublishedConfig(plainDocument(1), LIMITS);
+const config = toPublishedConfig(sampleDocument(1), LIMITS);
 
 function req(method: string, url: string, headers: Record<string, string> = {}): IncomingMessage {
   return { method, url, headers } as IncomingMessage;
@@ -131,7 +131,7 @@
     readRequestHead({ 'harrierglade-priority': '10' }, 'r1').invalid ?? '',
     /from 0 to 9/,
   );
-  const [endpoint] = toPublishedEndpoints(view(), plainBody());
+  const [endpoint] = toPublishedEndpoints(view(), sampleBody());
   assert.ok(endpoint);
   const sent = attemptHeaders(
     { authorization: 'Bearer secret', cookie: 'c', 'content-type': 'application/json' },
@@ -169,7 +169,7 @@
 
 test('the document and the instance list are converted to the types of the gateway', () => {
   assert.equal(config.organisationsByKey?.get(keyHash('secret'))?.id, 'rwandair');
-  const endpoints = toPublishedEndpoints(view(), plainBody());
+  const endpoints = toPublishedEndpoints(view(), sampleBody());
   assert.deepEqual(
     endpoints.map((e) => [e.id, e.service, e.address]),
     [
--- a/test/cli/cli.test.ts
+++ b/test/cli/cli.test.ts
@@ -7,9 +7,9 @@
 import { join } from 'node:path';
 import { after, before, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { readyPorts, signalProcess, startProcess } from '../../bench/harness/index.js';
+import { parseDaemonPorts, signalProcess, startProcess } from '../../bench/harness/index.js';
 import { FakePlatform } from '../../fakes/platform/index.js';
-import { plainBody } from '../fixtures/configuration.js';
+import { sampleBody } from '../fixtures/configuration.js';
 
 const ROOT = fileURLToPath(new URL('../../../', import.meta.url));
 let folder: string;
@@ -18,7 +18,7 @@
 before(async () => {
   folder = mkdtempSync(join(tmpdir(), 'harrierglade-'));
   platform = await FakePlatform.start();
-  platform.publish(plainBody(), 0);
+  platform.publish(sampleBody(), 0);
 });
 
 after(() => {
@@ -75,7 +75,7 @@
   assert.match(confirmed.err, /changes against version 1: events; publish with basedOn 1/);
   const publication = JSON.parse(readFileSync(out, 'utf8')) as {
     basedOn: number;
-    body: ReturnType<typeof plainBody>;
+    body: ReturnType<typeof sampleBody>;
   };
   platform.publish(publication.body, publication.basedOn);
   const outdated = await run('cli', 'confirm', plan, '--platform', platform.url);
@@ -84,7 +84,7 @@
 });
 
 test('plan suggests --daemon if the newest version is refused', async () => {
-  platform.publish(plainBody(), 0);
+  platform.publish(sampleBody(), 0);
   const refused = await run('cli', 'plan', file('intent.json', INTENT), '--platform', platform.url);
   assert.equal(refused.code, 1);
   assert.match(refused.err, /--daemon HOST:PORT/);
@@ -94,9 +94,15 @@
   const bad = await run('cli', 'check', file('settings.json', { role: 'entri' }));
   assert.equal(bad.code, 1);
   assert.match(bad.err, /use one of entry, agent/);
-  const good = await run('cli', 'check', file('body.json', plainBody()), '--kind', 'configuration');
+  const good = await run(
+    'cli',
+    'check',
+    file('body.json', sampleBody()),
+    '--kind',
+    'configuration',
+  );
   assert.equal(good.code, 0);
-  const twice = { ...plainBody(), models: [...plainBody().models, ...plainBody().models] };
+  const twice = { ...sampleBody(), models: [...sampleBody().models, ...sampleBody().models] };
   const unsafe = await run('cli', 'check', file('next.json', twice), '--kind', 'configuration');
   assert.equal(unsafe.code, 1);
   assert.match(unsafe.err, /model "passenger-summary" stands twice; keep one/);
@@ -169,7 +175,7 @@
     listen: { callers: anyPort, daemons: anyPort, operators: anyPort },
   });
   const main = 'src/daemon/main.js';
-  const started = await startProcess('daemon', main, ['--settings', settings], readyPorts);
+  const started = await startProcess('daemon', main, ['--settings', settings], parseDaemonPorts);
   const status = await run('cli', 'status', `127.0.0.1:${started.value.operators}`);
   assert.match(status.out, /kgl-a-entry-1 .*ready/);
   signalProcess(started.process, 'SIGTERM');
--- a/test/core/backpressure/known-limits.test.ts
+++ b/test/core/backpressure/known-limits.test.ts
@@ -8,7 +8,7 @@
   LimitUpdates,
   NO_VERSION,
 } from '../../../src/core/backpressure/index.js';
-import type { ToldLimit } from '../../../src/generated/messages.types.js';
+import type { LimitObservation } from '../../../src/generated/messages.types.js';
 import { asId, type EndpointId } from '../../../src/core/ids/index.js';
 
 interface TestClock {
@@ -132,7 +132,7 @@
     );
   }
 
-  private deliver(limits: ToldLimit[]): Promise<void> {
+  private deliver(limits: LimitObservation[]): Promise<void> {
     if (!this.isRelayUp) return Promise.reject(new Error('the relay is down'));
     this.relay.mergeFromPeer({ limits });
     return Promise.resolve();
--- a/test/core/backpressure/limit-share.test.ts
+++ b/test/core/backpressure/limit-share.test.ts
@@ -8,10 +8,10 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  LIMIT_WAYS,
-  playLimit,
-  type LimitPlay,
-  type LimitWay,
+  LIMIT_POLICIES,
+  simulateLimit,
+  type LimitScenario,
+  type LimitPolicy,
 } from '../../../bench/decisions/limit-model.js';
 import {
   limitShare,
@@ -20,19 +20,28 @@
   ASSUMED_PEERS,
 } from '../../../src/core/backpressure/index.js';
 
-const WAY = LIMIT_WAYS['a ring of as many as the bound bears'];
+const WAY = LIMIT_POLICIES['a ring of as many as the bound bears'];
 const bound = (limitPerS: number): number => 1.5 * limitPerS * 4 + 5;
 
-const PLAY: LimitPlay = { seed: 1, entries: 6, endpoints: 3, limitPerS: 4, load: 2, seconds: 60 };
+const PLAY: LimitScenario = {
+  seed: 1,
+  entries: 6,
+  endpoints: 3,
+  limitPerS: 4,
+  load: 2,
+  seconds: 60,
+};
 const WAVES = { load: 6, waveS: 15 } as const;
 
-function maxInWindow(way: LimitWay, play: Partial<LimitPlay>): number {
-  const seeds = [1, 2, 3].map((seed) => playLimit({ ...PLAY, ...play, seed }, way).most);
+function maxInWindow(way: LimitPolicy, play: Partial<LimitScenario>): number {
+  const seeds = [1, 2, 3].map((seed) => simulateLimit({ ...PLAY, ...play, seed }, way).maxInWindow);
   return Math.max(...seeds);
 }
 
 test('equal shares exceed the bound when callers return after an idle time', () => {
-  assert.ok(maxInWindow(LIMIT_WAYS['an equal share each'], { entries: 42, ...WAVES }) > bound(4));
+  assert.ok(
+    maxInWindow(LIMIT_POLICIES['an equal share each'], { entries: 42, ...WAVES }) > bound(4),
+  );
 });
 
 test('the ring stays within the bound at any number of entries, load, distribution of callers, waves, and differing views', () => {
@@ -55,14 +64,15 @@
         ...(firstShare !== undefined && { firstShare }),
         ...(waveS !== undefined && { waveS }),
       };
-      assert.ok(playLimit(varied, WAY).most <= bound(rest.limitPerS));
+      assert.ok(simulateLimit(varied, WAY).maxInWindow <= bound(rest.limitPerS));
     }),
     { numRuns: 150 },
   );
 });
 
 test('most of the limits is used at a load of twice the limits, evenly and unevenly distributed', () => {
-  const used = (play: Partial<LimitPlay>): number => playLimit({ ...PLAY, ...play }, WAY).used;
+  const used = (play: Partial<LimitScenario>): number =>
+    simulateLimit({ ...PLAY, ...play }, WAY).usedShare;
   // The targets are 0.85 and 0.7. Many entries with few callers each miss them, since only 26
   // entries may send to one endpoint.
   assert.ok(used({ entries: 6 }) >= 0.85);
--- a/test/core/backpressure/relay-limiter.test.ts
+++ b/test/core/backpressure/relay-limiter.test.ts
@@ -10,16 +10,16 @@
 import { asId, type EndpointId } from '../../../src/core/ids/index.js';
 import { silentLog } from '../../../src/core/logging/index.js';
 import { hostOf } from '../../../src/core/published/index.js';
-import type { TokenGrant } from '../../../src/generated/messages.types.js';
+import type { RateLimitTokenReply } from '../../../src/generated/messages.types.js';
 
 const ENDPOINT = { id: asId<EndpointId>('e-1'), startedAtMs: 7 };
-const GRANTED: TokenGrant = { isGranted: true, peers: 1 };
-const DENIED: TokenGrant = { isGranted: false, retryMs: 1000, peers: 1 };
+const GRANTED: RateLimitTokenReply = { isGranted: true, peers: 1 };
+const DENIED: RateLimitTokenReply = { isGranted: false, retryMs: 1000, peers: 1 };
 
 class Setup {
   atMs = 1000;
   /** Answer of each relay; missing if it cannot be reached. */
-  readonly answers = new Map<string, TokenGrant>();
+  readonly answers = new Map<string, RateLimitTokenReply>();
   readonly asked: string[] = [];
   readonly results: TokenResult[] = [];
   readonly limits = new KnownLimits({ nowMs: () => this.atMs });
--- a/test/core/backpressure/token-grants.test.ts
+++ b/test/core/backpressure/token-grants.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { KnownLimits, TokenGrants } from '../../../src/core/backpressure/index.js';
-import type { TokenRequest } from '../../../src/generated/messages.types.js';
+import type { RateLimitTokenRequest } from '../../../src/generated/messages.types.js';
 
 const clockAt = (atMs: number) => ({ atMs, nowMs: () => clock.atMs });
 const clock = clockAt(0);
@@ -12,7 +12,7 @@
   return new TokenGrants({ clock, random: () => 0.5, limits: new KnownLimits(clock), shards });
 }
 
-function request(from: string, limitPerS: number, change: object = {}): TokenRequest {
+function request(from: string, limitPerS: number, change: object = {}): RateLimitTokenRequest {
   const limit = { endpoint: 'e-1', startedAtMs: 7, limitPerS, namedAgoMs: 0, namedId: 1 };
   return { from, limit: { ...limit, ...change } };
 }
--- a/test/core/clock/suspension.test.ts
+++ b/test/core/clock/suspension.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { SuspensionClock, type Clock } from '../../../src/core/clock/index.js';
-import { okAnswer, startRawEndpoint } from '../../../fakes/raw-endpoint/index.js';
+import { okResponse, startRawEndpoint } from '../../../fakes/raw-endpoint/index.js';
 import { config, endpoint, route, startGateway } from '../../gateway/harness.js';
 
 /** Simulated clocks of an instance. */
@@ -95,7 +95,7 @@
 });
 
 test('an entry that resumes refuses a key known before the suspension until it is confirmed again', async () => {
-  const raw = await startRawEndpoint((req) => req.socket.write(okAnswer(req, 'x')));
+  const raw = await startRawEndpoint((req) => req.socket.write(okResponse(req, 'x')));
   const instanceClock = new FakeInstanceClock();
   const harness = await startGateway(config([route()]), [endpoint('e-1', raw.address)], {
     clock: instanceClock,
@@ -107,7 +107,7 @@
     const refused = await harness.send('q-2');
     assert.equal(refused.status, 503);
     assert.equal(harness.gateway.isReady(), false);
-    harness.state.proveConfig(harness.ctx.ageClock.nowMs());
+    harness.state.confirmConfig(harness.ctx.ageClock.nowMs());
     assert.equal((await harness.send('q-3')).status, 200);
   } finally {
     harness.close();
--- a/test/core/config-feed/check-document.test.ts
+++ b/test/core/config-feed/check-document.test.ts
@@ -5,7 +5,7 @@
   bodyDigest,
   canonicalJson,
   FeedStore,
-  judgeDocument,
+  checkDocument,
 } from '../../../src/core/config-feed/index.js';
 import { systemClock } from '../../../src/core/clock/index.js';
 import { silentLog } from '../../../src/core/logging/index.js';
@@ -14,7 +14,7 @@
   ConfigurationBody,
   ConfigurationDocument,
 } from '../../../src/generated/configuration.types.js';
-import { plainBody, plainDocument } from '../../fixtures/configuration.js';
+import { sampleBody, sampleDocument } from '../../fixtures/configuration.js';
 
 function createStore(): { store: FeedStore; metrics: Metrics } {
   const metrics = new Metrics();
@@ -22,17 +22,17 @@
 }
 
 function reasonOf(doc: unknown): string {
-  const result = judgeDocument(structuredClone(doc));
+  const result = checkDocument(structuredClone(doc));
   return result.err ? result.val.reason : 'accepted';
 }
 
 test('a document not based on the preceding version is refused without knowing other versions', () => {
-  assert.equal(reasonOf(plainDocument(7)), 'accepted');
-  assert.equal(reasonOf({ ...plainDocument(7), basedOn: 5 }), 'document-raced');
+  assert.equal(reasonOf(sampleDocument(7)), 'accepted');
+  assert.equal(reasonOf({ ...sampleDocument(7), basedOn: 5 }), 'document-raced');
 });
 
 test('a document whose body does not match its digest is refused', () => {
-  const doc = plainDocument(1);
+  const doc = sampleDocument(1);
   const altered = {
     ...doc,
     body: { ...doc.body, policy: { ...doc.body.policy, retryShare: 0.9 } },
@@ -41,25 +41,25 @@
 });
 
 test('errors that the schema cannot express are reported with a remedy', () => {
-  const body = plainBody();
+  const body = sampleBody();
   const duplicated: ConfigurationBody = {
     ...body,
     organisations: [...body.organisations, ...body.organisations],
   };
-  const result = judgeDocument({
+  const result = checkDocument({
     version: 1,
     basedOn: 0,
     digest: bodyDigest(duplicated),
     body: duplicated,
   });
   assert.ok(result.err);
-  assert.match(result.val.facts, /organisation "rwandair" stands twice; keep one/);
+  assert.match(result.val.detail, /organisation "rwandair" stands twice; keep one/);
 });
 
 test('arbitrary data is refused and never throws', () => {
   fc.assert(
     fc.property(fc.anything(), (data) => {
-      assert.ok(judgeDocument(data).err);
+      assert.ok(checkDocument(data).err);
     }),
     { seed: 3, numRuns: 500 },
   );
@@ -85,7 +85,7 @@
       const { store } = createStore();
       let last = 0;
       for (const { version, raced } of docs) {
-        const doc: ConfigurationDocument = plainDocument(version);
+        const doc: ConfigurationDocument = sampleDocument(version);
         store.offerConfig(raced ? { ...doc, basedOn: version - 2 } : doc, 'test');
         const now = store.versions().config;
         assert.ok(now >= last);
@@ -99,21 +99,21 @@
 
 test('a waiting reader receives a newer document as soon as it is accepted', async () => {
   const { store } = createStore();
-  const waiting = store.waitNewer({ config: 0, list: 0 }, 10_000);
-  store.offerConfig(plainDocument(3), 'test');
+  const waiting = store.waitForUpdates({ config: 0, list: 0 }, 10_000);
+  store.offerConfig(sampleDocument(3), 'test');
   assert.equal((await waiting)?.config?.version, 3);
-  assert.equal(await store.waitNewer({ config: 3, list: 0 }, 0), undefined);
+  assert.equal(await store.waitForUpdates({ config: 3, list: 0 }, 0), undefined);
 });
 
 test('refused documents are counted by reason and listed', () => {
   const { store, metrics } = createStore();
-  store.offerConfig({ ...plainDocument(4), basedOn: 1 }, 'platform');
+  store.offerConfig({ ...sampleDocument(4), basedOn: 1 }, 'platform');
   assert.equal(metrics.value('config_refused_total', { reason: 'document-raced' }), 1);
   assert.equal(store.refused[0]?.version, 4);
 });
 
 test('an accepted document is forwarded exactly as published, so that its digest matches at the next daemon', () => {
-  const doc = plainDocument(2);
+  const doc = sampleDocument(2);
   const minimalBody = {
     ...doc.body,
     events: undefined,
@@ -135,7 +135,7 @@
 
 test('a document corrupted in transit does not block the intact one', () => {
   const { store } = createStore();
-  const doc = plainDocument(2);
+  const doc = sampleDocument(2);
   store.offerConfig({ ...doc, digest: '0'.repeat(64) }, 'peer');
   store.offerConfig(doc, 'platform');
   assert.equal(store.versions().config, 2);
@@ -143,8 +143,8 @@
 
 test('a refused version is not requested again, a higher one is', () => {
   const { store } = createStore();
-  store.offerConfig(plainDocument(3), 'platform');
-  store.offerConfig({ ...plainDocument(4), basedOn: 2 }, 'platform');
+  store.offerConfig(sampleDocument(3), 'platform');
+  store.offerConfig({ ...sampleDocument(4), basedOn: 2 }, 'platform');
   assert.deepEqual([store.versions().config, store.handledVersions().config], [3, 4]);
-  assert.equal(store.offerConfig(plainDocument(5), 'platform'), true);
+  assert.equal(store.offerConfig(sampleDocument(5), 'platform'), true);
 });
--- a/test/core/config-feed/delta.test.ts
+++ b/test/core/config-feed/delta.test.ts
@@ -17,7 +17,7 @@
   ConfigurationDocument,
 } from '../../../src/generated/configuration.types.js';
 import type { InstanceList } from '../../../src/generated/instances.types.js';
-import { plainBody } from '../../fixtures/configuration.js';
+import { sampleBody } from '../../fixtures/configuration.js';
 
 function documentOf(
   version: number,
@@ -31,9 +31,9 @@
     tokensPerSecond: 1,
   }));
   const body: ConfigurationBody = {
-    ...plainBody(),
+    ...sampleBody(),
     organisations,
-    policy: { ...plainBody().policy, retryShare: weight / 100 },
+    policy: { ...sampleBody().policy, retryShare: weight / 100 },
   };
   return { version, basedOn: version - 1, digest: bodyDigest(body), body };
 }
--- a/test/core/errors/errors.test.ts
+++ b/test/core/errors/errors.test.ts
@@ -3,11 +3,11 @@
 import {
   ERROR_KINDS,
   HarriergladeError,
-  isGivenUp,
+  isAbortOrTimeout,
   isTimeout,
   notRun,
   toProblem,
-  unknown,
+  outcomeUnknown,
   type ErrorKind,
   type Reason,
 } from '../../../src/core/errors/index.js';
@@ -27,7 +27,7 @@
 test('problem details carry status, outcome and retry time', () => {
   const problem = toProblem(notRun('share-exceeded', 'Too much.', 7));
   assert.deepEqual([problem.status, problem.outcome, problem.retryAfterS], [429, 'not-run', 7]);
-  assert.equal(toProblem(unknown('answer-lost')).outcome, 'unknown');
+  assert.equal(toProblem(outcomeUnknown('answer-lost')).outcome, 'unknown');
 });
 
 test('a timeout is recognised through a chain of causes', async () => {
@@ -42,8 +42,8 @@
 
 test('an aborted call is recognised, whether its signal has a default reason or a timeout', () => {
   const plain = new Error('the call failed', { cause: AbortSignal.abort().reason });
-  assert.equal(isGivenUp(plain), true);
+  assert.equal(isAbortOrTimeout(plain), true);
   assert.equal(isTimeout(plain), false);
-  assert.equal(isGivenUp(new DOMException('late', 'TimeoutError')), true);
-  assert.equal(isGivenUp(new Error('reset')), false);
+  assert.equal(isAbortOrTimeout(new DOMException('late', 'TimeoutError')), true);
+  assert.equal(isAbortOrTimeout(new Error('reset')), false);
 });
--- a/test/core/events/events.test.ts
+++ b/test/core/events/events.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { bodyDigest, judgeDocument } from '../../../src/core/config-feed/index.js';
+import { bodyDigest, checkDocument } from '../../../src/core/config-feed/index.js';
 import {
   changedParts,
   confirmPlan,
@@ -9,7 +9,7 @@
   type ConfigurationDocument,
   type EventIntent,
 } from '../../../src/core/events/index.js';
-import { plainDocument } from '../../fixtures/configuration.js';
+import { sampleDocument } from '../../fixtures/configuration.js';
 
 const NOW = Date.parse('2027-01-31T03:00:00Z');
 
@@ -24,13 +24,13 @@
 };
 
 function detailOf(intent: object): string {
-  const result = planEvent(intent, plainDocument(4), NOW);
+  const result = planEvent(intent, sampleDocument(4), NOW);
   assert.ok(result.err);
-  return result.val.facts;
+  return result.val.detail;
 }
 
 test('a plan compares capacity with the surge and lists what is sacrificed', () => {
-  const plan = planEvent(structuredClone(INTENT), plainDocument(4), NOW).unwrap();
+  const plan = planEvent(structuredClone(INTENT), sampleDocument(4), NOW).unwrap();
   assert.deepEqual(plan.targets[0], {
     target: 'passenger-summary',
     unit: 'tokens/s',
@@ -70,13 +70,13 @@
 });
 
 test('an event that overlaps another of the same organisations is refused, a later one is not', () => {
-  const doc = plainDocument(4);
+  const doc = sampleDocument(4);
   const plan = planEvent(structuredClone(INTENT), doc, NOW).unwrap();
   const body = { ...doc.body, events: [{ ...plan.event, id: 'other' }] };
   const withOtherEvent: ConfigurationDocument = { ...doc, body, digest: bodyDigest(body) };
   const overlapping = planEvent(structuredClone(INTENT), withOtherEvent, NOW);
   assert.ok(overlapping.err);
-  assert.match(overlapping.val.facts, /event "other" runs at the same time/);
+  assert.match(overlapping.val.detail, /event "other" runs at the same time/);
   assert.ok(
     planEvent(
       { ...structuredClone(INTENT), start: '2027-02-01T05:30:00+02:00' },
@@ -92,28 +92,28 @@
     surge: [{ target: 'passenger-summary', requestsPerSecond: 1e9, tokensPerRequest: 1e3 }],
     sacrifice: [],
   };
-  const plan = planEvent(huge, plainDocument(4), NOW).unwrap();
+  const plan = planEvent(huge, sampleDocument(4), NOW).unwrap();
   assert.equal(plan.shortfallLeft, 1e12 - 1000);
 });
 
 test('a confirmed plan is a document that every daemon accepts', () => {
-  const doc = plainDocument(4);
+  const doc = sampleDocument(4);
   const plan = planEvent(structuredClone(INTENT), doc, NOW).unwrap();
   const publication = confirmPlan(plan, doc, 4, NOW).unwrap();
   assert.deepEqual(changedParts(doc.body, publication.body), ['events']);
-  assert.ok(judgeDocument({ version: 5, ...structuredClone(publication) }).ok);
+  assert.ok(checkDocument({ version: 5, ...structuredClone(publication) }).ok);
 });
 
 test('a plan based on an old version is refused, and so is one whose event has started', () => {
-  const plan = planEvent(structuredClone(INTENT), plainDocument(4), NOW).unwrap();
-  const stale = confirmPlan(plan, plainDocument(5), 5, NOW);
+  const plan = planEvent(structuredClone(INTENT), sampleDocument(4), NOW).unwrap();
+  const stale = confirmPlan(plan, sampleDocument(5), 5, NOW);
   assert.ok(stale.err);
   assert.equal(stale.val.reason, 'plan-stale');
-  assert.ok(confirmPlan(plan, plainDocument(4), 4, plan.event.startMs).err);
+  assert.ok(confirmPlan(plan, sampleDocument(4), 4, plan.event.startMs).err);
 });
 
 test('after a refused version, basedOn is the newest version and the body comes from the one in force', () => {
-  const doc = plainDocument(4);
+  const doc = sampleDocument(4);
   const plan = planEvent(structuredClone(INTENT), doc, NOW).unwrap();
   assert.equal(confirmPlan(plan, doc, 6, NOW).unwrap().basedOn, 6);
 });
--- a/test/core/published/published-state.test.ts
+++ b/test/core/published/published-state.test.ts
@@ -11,14 +11,14 @@
   OUTAGE_GRACE_MS,
   pickService,
   PublishedState,
-  type ConfigNews,
+  type ConfigUpdate,
   type ConfigRead,
   type EndpointChange,
   type PublishedConfig,
   type PublishedSource,
   type PublishedRead,
   type ReadFault,
-  type Watched,
+  type WatchResult,
 } from '../../../src/core/published/index.js';
 import { Err, Ok, type Result } from '../../../src/core/result/index.js';
 import { until } from '../../fixtures/until.js';
@@ -38,19 +38,19 @@
         assert.equal(state.config?.version, highest);
       });
       const last = versions.lastIndexOf(Math.max(...versions));
-      assert.ok(state.proofAgeMs(100) <= 100 - last);
+      assert.ok(state.confirmedAgoMs(100) <= 100 - last);
     }),
   );
 });
 
 test('a confirmation counts from its request, and without a configuration there is none', () => {
   const state = new PublishedState();
-  state.proveConfig(5);
-  assert.equal(state.proofAgeMs(10), Number.POSITIVE_INFINITY);
+  state.confirmConfig(5);
+  assert.equal(state.confirmedAgoMs(10), Number.POSITIVE_INFINITY);
   state.offerConfig(configVersion(1), 20);
-  assert.equal(state.proofAgeMs(50), 30);
-  state.proveConfig(10);
-  assert.equal(state.proofAgeMs(50), 30);
+  assert.equal(state.confirmedAgoMs(50), 30);
+  state.confirmConfig(10);
+  assert.equal(state.confirmedAgoMs(50), 30);
 });
 
 test('a leaving endpoint receives no requests again, but one that was only missing does', () => {
@@ -60,10 +60,10 @@
   state.offerList([a, b], false);
   const change = state.offerList([{ ...a, isLeaving: true }], false);
   assert.deepEqual([change.leaving, change.gone], [['a'], ['b']]);
-  assert.equal(state.takesWork(a.id), false);
+  assert.equal(state.isAvailable(a.id), false);
   state.offerList([a, b], false);
-  assert.equal(state.takesWork(a.id), false);
-  assert.equal(state.takesWork(b.id), true);
+  assert.equal(state.isAvailable(a.id), false);
+  assert.equal(state.isAvailable(b.id), true);
 });
 
 /**
@@ -77,13 +77,13 @@
   state.offerList([first], false);
   state.offerList([{ ...first, isLeaving: true }], false);
   state.offerList([first], false);
-  assert.equal(state.takesWork(first.id), false, 'a late read concerns the process that left');
+  assert.equal(state.isAvailable(first.id), false, 'a late read concerns the process that left');
   const second = { ...first, startedAtMs: 2000 };
   assert.deepEqual(state.offerList([second], false).joined, [second]);
-  assert.equal(state.takesWork(first.id), true);
-  assert.deepEqual([...state.workingOf(first.service)], [second]);
+  assert.equal(state.isAvailable(first.id), true);
+  assert.deepEqual([...state.availableEndpoints(first.service)], [second]);
   assert.deepEqual(state.offerList([{ ...second, isLeaving: true }], false).leaving, ['a']);
-  assert.equal(state.takesWork(first.id), false);
+  assert.equal(state.isAvailable(first.id), false);
 });
 
 test('records that expired during a store outage are kept for the grace period only', () => {
@@ -144,7 +144,7 @@
     [change.joined.map((e) => e.id), change.leaving, change.gone],
     [['b'], ['a'], []],
   );
-  assert.equal(state.takesWork(a.id), false);
+  assert.equal(state.isAvailable(a.id), false);
   const removed = state.applyChanges([{ kind: 'removed', id: a.id }], false);
   assert.deepEqual(removed.gone, ['a']);
   assert.deepEqual(listedIds(state), ['b']);
@@ -155,14 +155,14 @@
   const a = endpoint('a', 'x:1');
   state.offerList([a], false);
   assert.deepEqual(state.applyChanges([{ kind: 'removed', id: a.id }], true).gone, []);
-  assert.equal(state.takesWork(a.id), true);
+  assert.equal(state.isAvailable(a.id), true);
   assert.deepEqual(state.applyChanges([{ kind: 'written', endpoint: a }], true).gone, []);
   assert.deepEqual(state.dropMissing().gone, []);
   assert.deepEqual(listedIds(state), ['a']);
 });
 
 const ENDPOINT_CHANGE: EndpointChange = { kind: 'written', endpoint: endpoint('a', 'x:1') };
-const SAME: ConfigNews = { kind: 'same' };
+const SAME: ConfigUpdate = { kind: 'same' };
 
 /**
  * A source with configurable results; a watch returns the next queued result, or no changes after
@@ -176,7 +176,7 @@
     revision: 1,
     invalid: [],
   });
-  readonly queued: Result<Watched, ReadFault>[] = [];
+  readonly queued: Result<WatchResult, ReadFault>[] = [];
   reads = 0;
   /** Time after which each longer wait ends with a change, ms. */
   changesAfterMs = Number.POSITIVE_INFINITY;
@@ -190,7 +190,7 @@
     this.reads += 1;
     return Promise.resolve(this.all);
   };
-  async watch(revision: number, waitMs: number): Promise<Result<Watched, ReadFault>> {
+  async watch(revision: number, waitMs: number): Promise<Result<WatchResult, ReadFault>> {
     this.watches.push([revision, waitMs]);
     const queued = this.queued.shift();
     if (queued) return queued;
@@ -201,7 +201,7 @@
   }
 }
 
-function changes(config: ConfigNews, revision: number): Result<Watched, ReadFault> {
+function changes(config: ConfigUpdate, revision: number): Result<WatchResult, ReadFault> {
   return Ok({ kind: 'changes', config, endpoints: [], revision, invalid: [] });
 }
 
@@ -210,7 +210,7 @@
  * are some tenths of a second late.
  */
 const UPDATE_TIMEOUT_MS = 5000;
-const TIMEOUT: Result<Watched, ReadFault> = Err({ kind: 'timeout', detail: 'no response' });
+const TIMEOUT: Result<WatchResult, ReadFault> = Err({ kind: 'timeout', detail: 'no response' });
 
 interface FollowerTest {
   readonly source: FakeSource;
@@ -270,9 +270,9 @@
     source.queued.push(...Array.from({ length: 6 }, () => TIMEOUT));
     await wait(60);
     assert.equal(state.config?.version, 1);
-    assert.ok(state.proofAgeMs(systemClock.nowMs()) > 30, 'a failed call confirms nothing');
+    assert.ok(state.confirmedAgoMs(systemClock.nowMs()) > 30, 'a failed call confirms nothing');
     await wait(120);
-    assert.ok(state.proofAgeMs(systemClock.nowMs()) < 60);
+    assert.ok(state.confirmedAgoMs(systemClock.nowMs()) < 60);
     assert.deepEqual(
       events.filter((event) => event.startsWith('published.')),
       ['published.lost', 'published.regained'],
@@ -305,10 +305,10 @@
     source.queued.push(changes({ kind: 'unreadable' }, 7));
     await wait(100);
     assert.equal(state.config?.version, 1);
-    assert.ok(state.proofAgeMs(systemClock.nowMs()) > 60);
+    assert.ok(state.confirmedAgoMs(systemClock.nowMs()) > 60);
     source.queued.push(changes({ kind: 'read', config: configVersion(3) }, 8));
     await wait(60);
-    assert.ok(state.proofAgeMs(systemClock.nowMs()) < 60);
+    assert.ok(state.confirmedAgoMs(systemClock.nowMs()) < 60);
   });
 });
 
@@ -319,7 +319,7 @@
     let oldest = 0;
     const untilMs = systemClock.nowMs() + 3 * waitMs;
     while (systemClock.nowMs() < untilMs) {
-      oldest = Math.max(oldest, state.proofAgeMs(systemClock.nowMs()));
+      oldest = Math.max(oldest, state.confirmedAgoMs(systemClock.nowMs()));
       await wait(5);
     }
     assert.ok(oldest < 1.7 * waitMs, `${oldest}`);
@@ -334,7 +334,7 @@
     let oldest = 0;
     const untilMs = systemClock.nowMs() + 4 * waitMs;
     while (systemClock.nowMs() < untilMs) {
-      oldest = Math.max(oldest, state.proofAgeMs(systemClock.nowMs()));
+      oldest = Math.max(oldest, state.confirmedAgoMs(systemClock.nowMs()));
       await wait(5);
     }
     assert.ok(oldest < 1.5 * waitMs, `${oldest}`);
@@ -342,7 +342,7 @@
 });
 
 test('endpoints missing after an outage are removed in time, however long the next wait is', async () => {
-  const changeResult = (change: EndpointChange): Result<Watched, ReadFault> =>
+  const changeResult = (change: EndpointChange): Result<WatchResult, ReadFault> =>
     Ok({ kind: 'changes', config: SAME, endpoints: [change], revision: 7, invalid: [] });
   const { id } = endpoint('a', 'x:1');
   await withFollower(async ({ source, state }) => {
@@ -352,8 +352,8 @@
     while (source.queued.length > 0) await wait(5);
     const backAtMs = systemClock.nowMs();
     await wait(20);
-    assert.equal(state.takesWork(id), true, 'its record may be rewritten');
-    while (state.takesWork(id) && systemClock.nowMs() - backAtMs < 3000) await wait(5);
+    assert.equal(state.isAvailable(id), true, 'its record may be rewritten');
+    while (state.isAvailable(id) && systemClock.nowMs() - backAtMs < 3000) await wait(5);
     const keptMs = systemClock.nowMs() - backAtMs;
     assert.ok(keptMs < OUTAGE_GRACE_MS, `${keptMs} ms`);
   }, 4000);
@@ -375,7 +375,7 @@
       log: silentLog,
       metrics: new Metrics(),
       pace: { waitMs: 20, minWaitMs: 2, changePauseMs: 2000, failedPauseMs: 5 },
-      isLacking: () => state.config === undefined,
+      needsFullRead: () => state.config === undefined,
     },
     controller.signal,
   );
--- a/test/core/published/relay-fleet.ts
+++ b/test/core/published/relay-fleet.ts
@@ -10,7 +10,7 @@
 import { Metrics } from '../../../src/core/metrics/index.js';
 import {
   entryPace,
-  ENTRY_RELAYED,
+  ENTRY_RELAYED_PACE,
   followPublished,
   PublishedRelay,
   PublishedState,
@@ -148,7 +148,7 @@
     events: [],
     nowMs: 0,
     onPause: () => undefined,
-    start: (name, relays, pace = ENTRY_RELAYED, clock = fleetClock) => {
+    start: (name, relays, pace = ENTRY_RELAYED_PACE, clock = fleetClock) => {
       const state = new PublishedState();
       const crashes = new CrashEvidence(clock);
       const relay = new PublishedRelay({
@@ -203,9 +203,9 @@
   const confirmedAtMs = askedAtMs + (read.confirmedAfterMs ?? 0);
   if (pending.config.kind === 'read')
     daemon.state.offerConfig(pending.config.config, confirmedAtMs);
-  else daemon.state.proveConfig(confirmedAtMs);
+  else daemon.state.confirmConfig(confirmedAtMs);
   daemon.state.offerList(read.endpoints, false);
-  daemon.relay.noteLearnt();
+  daemon.relay.recordChanges();
 }
 
 /** Runs a fleet whose daemons follow the store in real time. */
@@ -221,14 +221,14 @@
   for (const name of withOwnStore) fleet.ownStores.set(name, new FakeStore());
   const done: Promise<void>[] = [];
   const start = (name: string): void => {
-    const { state, source, relay } = fleet.start(name, names, ENTRY_RELAYED, systemClock);
+    const { state, source, relay } = fleet.start(name, names, ENTRY_RELAYED_PACE, systemClock);
     done.push(
       followPublished(
         {
           source,
           state,
           pace: names.includes(name) ? RELAY_PACE : entryPace(CONTACT_MS),
-          onLearnt: () => relay.noteLearnt(),
+          onRefresh: () => relay.recordChanges(),
           clock: systemClock,
           random: () => 0.5,
           log: silentLog,
--- a/test/core/published/relay.test.ts
+++ b/test/core/published/relay.test.ts
@@ -9,8 +9,8 @@
   PublishedState,
   type PublishedEndpoint,
 } from '../../../src/core/published/index.js';
-import type { PublishedAsk } from '../../../src/generated/messages.types.js';
-import { isPublishedNews } from '../../../src/generated/messages.validator.js';
+import type { PublishedRequest } from '../../../src/generated/messages.types.js';
+import { isPublishedUpdate } from '../../../src/generated/messages.validator.js';
 import { config, endpoint, route } from '../../gateway/harness.js';
 
 interface RelayFixture {
@@ -32,13 +32,13 @@
     publish: (endpoints, version = 1) => {
       state.offerConfig(config([route()], { version }), fixture.nowMs);
       state.offerList(endpoints, false);
-      relay.noteLearnt();
+      relay.recordChanges();
     },
   };
   return fixture;
 }
 
-const requestOf = (change: Partial<PublishedAsk> = {}): PublishedAsk => ({
+const requestOf = (change: Partial<PublishedRequest> = {}): PublishedRequest => ({
   life: '',
   sequence: 0,
   waitMs: 0,
@@ -54,14 +54,14 @@
   fixture.publish([A, B], 7);
   fixture.nowMs += 300;
   const update = await fixture.relay.answer(requestOf());
-  assert.ok(isPublishedNews(JSON.parse(JSON.stringify(update))));
+  assert.ok(isPublishedUpdate(JSON.parse(JSON.stringify(update))));
   assert.deepEqual(update.written.map(endpointFrom), [A, B]);
   assert.deepEqual([update.isWhole, update.configVersion, update.provedAgoMs], [true, 7, 300]);
 });
 
 test('a relay without state sends a message that matches its schema', async () => {
   const update = await startRelay().relay.answer(requestOf());
-  assert.ok(isPublishedNews(JSON.parse(JSON.stringify(update))));
+  assert.ok(isPublishedUpdate(JSON.parse(JSON.stringify(update))));
   assert.equal(update.configVersion, undefined);
   assert.ok(update.provedAgoMs > 1e9);
 });
@@ -102,7 +102,7 @@
   const fixture = startRelay();
   fixture.publish([A]);
   const { life, sequence } = await fixture.relay.answer(requestOf());
-  const hold = (change: Partial<PublishedAsk> = {}): Promise<string> => {
+  const hold = (change: Partial<PublishedRequest> = {}): Promise<string> => {
     const held = requestOf({ life, sequence, waitMs: 10_000, configVersion: 1, ...change });
     return fixture.relay.answer(held).then(() => 'answered');
   };
--- a/test/core/published/relayed-source.test.ts
+++ b/test/core/published/relayed-source.test.ts
@@ -9,7 +9,11 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { systemClock } from '../../../src/core/clock/index.js';
-import { AGENT_RELAYED, ENTRY_RELAYED, type ReadFault } from '../../../src/core/published/index.js';
+import {
+  AGENT_RELAYED_PACE,
+  ENTRY_RELAYED_PACE,
+  type ReadFault,
+} from '../../../src/core/published/index.js';
 import { fingerprintOf } from '../../../src/core/crashes/index.js';
 import { asId, type EndpointId } from '../../../src/core/ids/index.js';
 import { until } from '../../fixtures/until.js';
@@ -39,7 +43,7 @@
   assert.deepEqual(fleet.store.calls, { all: 0, watch: 0, config: 1 });
   assert.deepEqual([...daemon.state.list.keys()], ['a']);
   assert.equal(
-    daemon.state.proofAgeMs(fleet.nowMs),
+    daemon.state.confirmedAgoMs(fleet.nowMs),
     400,
     'the confirmation is as old as at the relay',
   );
@@ -147,7 +151,7 @@
     assert.deepEqual([fleet.store.calls.all, fleet.store.calls.config], [0, 0]);
     assert.ok(fleet.store.calls.watch <= 3 * 6, `${fleet.store.calls.watch} watches`);
     for (const { state } of fleet.daemons.values())
-      assert.ok(state.proofAgeMs(systemClock.nowMs()) < 2000);
+      assert.ok(state.confirmedAgoMs(systemClock.nowMs()) < 2000);
     fleet.store.endpoints = [A, B];
     fleet.store.notifyChange();
     await until('all daemons have the change', () =>
@@ -165,7 +169,7 @@
       for (const store of fleet.ownStores.values()) store.isRejecting = true;
       await wait(4500);
       for (const name of ['e0', 'r0']) {
-        const ageMs = fleet.daemons.get(name)?.state.proofAgeMs(systemClock.nowMs()) ?? 0;
+        const ageMs = fleet.daemons.get(name)?.state.confirmedAgoMs(systemClock.nowMs()) ?? 0;
         assert.ok(ageMs < 3500, `${name}: ${ageMs} ms`);
       }
     },
@@ -177,13 +181,13 @@
   const fleet = startFleet();
   const relay = fleet.start('relay', ['relay']);
   await readAll(relay, fleet);
-  const agent = fleet.start('agent', ['relay'], AGENT_RELAYED);
+  const agent = fleet.start('agent', ['relay'], AGENT_RELAYED_PACE);
   await readAll(agent, fleet);
   fleet.store.calls = { all: 0, watch: 0, config: 0 };
   fleet.store.version = 2;
   relay.state.offerConfig(config([route()], { version: 2 }), 0);
   relay.state.offerList([A, B], false);
-  relay.relay.noteLearnt();
+  relay.relay.recordChanges();
   const watched = (await agent.source.watch(0, 0)).unwrap();
   assert.ok(watched.kind === 'changes');
   assert.deepEqual(watched.endpoints, [{ kind: 'written', endpoint: B }]);
@@ -231,12 +235,16 @@
     const daemon = fleet.daemons.get(name) as Daemon;
     const watched = (await daemon.source.watch(0, 0)).unwrap();
     if (watched.kind === 'forgotten') await readAll(daemon, fleet);
-    else daemon.state.proveConfig(fleet.nowMs + (watched.confirmedAfterMs ?? 0));
-    daemon.relay.noteLearnt();
+    else daemon.state.confirmConfig(fleet.nowMs + (watched.confirmedAfterMs ?? 0));
+    daemon.relay.recordChanges();
   }
   for (const name of names) {
     const { state } = fleet.daemons.get(name) as Daemon;
-    assert.equal(state.proofAgeMs(fleet.nowMs), 0, `${name}: ${state.proofAgeMs(fleet.nowMs)} ms`);
+    assert.equal(
+      state.confirmedAgoMs(fleet.nowMs),
+      0,
+      `${name}: ${state.confirmedAgoMs(fleet.nowMs)} ms`,
+    );
   }
 }
 
@@ -256,11 +264,11 @@
 
 test('a relay whose state becomes stale answers at once, however long it may hold the request', async () => {
   const fleet = startFleet();
-  const relay = fleet.start('relay', ['relay'], ENTRY_RELAYED, systemClock);
+  const relay = fleet.start('relay', ['relay'], ENTRY_RELAYED_PACE, systemClock);
   const read = (await relay.source.readAll()).unwrap();
   assert.ok(read.config.kind === 'read');
   relay.state.offerConfig(read.config.config, systemClock.nowMs());
-  relay.relay.noteLearnt();
+  relay.relay.recordChanges();
   const { life, sequence } = await relay.relay.answer({
     life: '',
     sequence: 0,
@@ -291,7 +299,7 @@
       fleet.store.notifyChange();
       await wait(ACTIVE_WITHIN_MS);
       const { state } = fleet.daemons.get('e0') as Daemon;
-      assert.equal(state.takesWork(A.id), false);
+      assert.equal(state.isAvailable(A.id), false);
       assert.equal(state.config?.version, 1, 'a version that cannot be read is not active');
     },
     ['e0'],
@@ -312,7 +320,7 @@
       const { state } = fleet.daemons.get('e0') as Daemon;
       assert.equal(state.config?.version, 2);
       assert.equal(fleet.daemons.get('e1')?.state.config?.version, 2);
-      const ageMs = state.proofAgeMs(systemClock.nowMs());
+      const ageMs = state.confirmedAgoMs(systemClock.nowMs());
       assert.ok(ageMs < 2000, `confirmed ${ageMs} ms ago`);
       assert.ok(turnedAway.calls.config <= 2, `${turnedAway.calls.config} failed calls`);
     },
@@ -353,7 +361,10 @@
     const daemon = fleet.start(name, relays);
     await readAll(daemon, fleet);
     assert.equal(daemon.state.config?.version, 2, name);
-    assert.deepEqual([daemon.state.takesWork(A.id), daemon.state.takesWork(B.id)], [false, true]);
+    assert.deepEqual(
+      [daemon.state.isAvailable(A.id), daemon.state.isAvailable(B.id)],
+      [false, true],
+    );
   }
 });
 
--- a/test/core/published/store-copy.test.ts
+++ b/test/core/published/store-copy.test.ts
@@ -12,7 +12,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { setTimeout as wait } from 'node:timers/promises';
-import { startStore, type StoreFake } from '../../../fakes/store/index.js';
+import { startStore, type FakeStore } from '../../../fakes/store/index.js';
 import { connectStore } from '../../../platform/store-client.js';
 import { systemClock } from '../../../src/core/clock/index.js';
 import { asId, type EndpointId } from '../../../src/core/ids/index.js';
@@ -47,7 +47,7 @@
 }
 
 interface FollowedStore {
-  readonly store: StoreFake;
+  readonly store: FakeStore;
   readonly state: PublishedState;
   readonly events: string[];
 }
@@ -92,19 +92,19 @@
  * revisions.
  */
 async function restoreAcross(
-  store: StoreFake,
+  store: FakeStore,
   lost: () => void,
   isReceived: () => boolean,
   after: () => void,
 ): Promise<void> {
-  const copy = store.copy();
+  const copy = store.snapshot();
   lost();
   await until('the writes to be lost are received', isReceived, UPDATE_TIMEOUT_MS);
-  store.mood = 'reset';
+  store.mode = 'reset';
   store.restore(copy);
   await wait(OUTAGE_MS);
   after();
-  store.mood = 'well';
+  store.mode = 'well';
 }
 
 test('an endpoint that began to leave during the outage receives no requests, whatever its revision', async () => {
@@ -119,9 +119,9 @@
         for (let i = 0; i < 3; i += 1) store.put('op/config', configOf(3 + i));
       },
     );
-    await until('a is known to be leaving', () => !state.takesWork(A), UPDATE_TIMEOUT_MS);
+    await until('a is known to be leaving', () => !state.isAvailable(A), UPDATE_TIMEOUT_MS);
     assert.equal(state.config?.version, 5);
-    assert.equal(state.takesWork(B), true);
+    assert.equal(state.isAvailable(B), true);
   });
 });
 
@@ -136,8 +136,8 @@
         for (let i = 0; i < 3; i += 1) store.put('op/config', configOf(2 + i));
       },
     );
-    await until('a is removed', () => !state.takesWork(A), UPDATE_TIMEOUT_MS + REWRITE_MS);
-    assert.equal(state.takesWork(B), true);
+    await until('a is removed', () => !state.isAvailable(A), UPDATE_TIMEOUT_MS + REWRITE_MS);
+    assert.equal(state.isAvailable(B), true);
   });
 });
 
@@ -147,14 +147,14 @@
     await restoreAcross(
       store,
       () => store.put('servers/c', record()),
-      () => state.takesWork(C),
+      () => state.isAvailable(C),
       () => store.put('op/config', configOf(2)),
     );
     await until('the copy is read', () => state.config?.version === 2, UPDATE_TIMEOUT_MS);
-    keptAlways &&= state.takesWork(C);
+    keptAlways &&= state.isAvailable(C);
     store.put('servers/c', record());
     await wait(REWRITE_MS + 500);
-    assert.ok(keptAlways && state.takesWork(C));
+    assert.ok(keptAlways && state.isAvailable(C));
   });
 });
 
@@ -166,35 +166,35 @@
         store.put('servers/a', record('draining'));
         store.remove('servers/b');
       },
-      () => !state.takesWork(A) && !state.takesWork(B),
+      () => !state.isAvailable(A) && !state.isAvailable(B),
       () => store.put('op/config', configOf(2)),
     );
     await until('the copy is read', () => state.config?.version === 2, UPDATE_TIMEOUT_MS);
-    assert.deepEqual([state.takesWork(A), state.takesWork(B)], [false, false]);
+    assert.deepEqual([state.isAvailable(A), state.isAvailable(B)], [false, false]);
     store.remove('servers/b');
     await wait(REWRITE_MS);
-    assert.deepEqual([state.takesWork(A), state.takesWork(B)], [false, false]);
+    assert.deepEqual([state.isAvailable(A), state.isAvailable(B)], [false, false]);
   });
 });
 
 test('an older configuration of the copy is not applied and confirms nothing, nor does a read that may miss a newer one', async () => {
   await withFollowedStore(async ({ store, state, events }) => {
-    const copy = store.copy();
+    const copy = store.snapshot();
     store.put('op/config', configOf(2, []));
     await until('the key is revoked', () => state.config?.version === 2, UPDATE_TIMEOUT_MS);
-    store.mood = 'reset';
+    store.mode = 'reset';
     store.restore(copy);
     await wait(OUTAGE_MS);
-    store.mood = 'well';
+    store.mode = 'well';
     const backAtMs = systemClock.nowMs();
     await until('the copy is read', () => events.includes('config.older'), UPDATE_TIMEOUT_MS);
     await wait(REWRITE_MS / 2);
     assert.equal(state.config?.version, 2);
-    assert.ok(state.proofAgeMs(systemClock.nowMs()) > systemClock.nowMs() - backAtMs);
+    assert.ok(state.confirmedAgoMs(systemClock.nowMs()) > systemClock.nowMs() - backAtMs);
     store.put('op/config', configOf(2, []));
     await until(
       'it is confirmed again',
-      () => state.proofAgeMs(systemClock.nowMs()) < 1500,
+      () => state.confirmedAgoMs(systemClock.nowMs()) < 1500,
       UPDATE_TIMEOUT_MS + REWRITE_MS,
     );
     assert.ok(systemClock.nowMs() - backAtMs >= REWRITE_MS);
--- a/test/core/settings/settings.test.ts
+++ b/test/core/settings/settings.test.ts
@@ -14,7 +14,7 @@
 function detailOf(data: unknown): string {
   const result = checkSettings(data);
   assert.ok(result.err);
-  return result.val.facts;
+  return result.val.detail;
 }
 
 test('valid settings get every default', () => {
--- a/test/gateway/backpressure-signals.test.ts
+++ b/test/gateway/backpressure-signals.test.ts
@@ -61,7 +61,7 @@
   for (let i = 0; i < size.entries; i += 1)
     gateways.push(await startGateway(config([route()]), listed, { broadcastLeaving: tellLeaving }));
   const confirmTimer = setInterval(() => {
-    for (const { state, ctx } of gateways) state.proveConfig(ctx.ageClock.nowMs());
+    for (const { state, ctx } of gateways) state.confirmConfig(ctx.ageClock.nowMs());
   }, CONFIRM_INTERVAL_MS);
   let sent = 0;
   const sendLoad = async (seconds: number, perS: number): Promise<TestResponse[]> => {
--- a/test/gateway/buffered-response.test.ts
+++ b/test/gateway/buffered-response.test.ts
@@ -3,11 +3,11 @@
 import { test } from 'node:test';
 import { setTimeout as wait } from 'node:timers/promises';
 import {
-  answerHead,
+  responseHead,
   chunk,
-  okAnswer,
+  okResponse,
   startRawEndpoint,
-  type RawAnswer,
+  type RawResponder,
   type RawEndpoint,
 } from '../../fakes/raw-endpoint/index.js';
 import type { PublishedConfig, Route } from '../../src/core/published/index.js';
@@ -27,7 +27,7 @@
 }
 
 async function withEndpoints(
-  answers: readonly RawAnswer[],
+  answers: readonly RawResponder[],
   change: Partial<Route>,
   run: (setup: TestSetup) => Promise<void>,
   cfg: Partial<PublishedConfig> = {},
@@ -43,7 +43,7 @@
   }
 }
 
-const respondOk: RawAnswer = (req) => req.socket.write(okAnswer(req, 'fine'));
+const respondOk: RawResponder = (req) => req.socket.write(okResponse(req, 'fine'));
 const requestsSent = (setup: TestSetup): number =>
   setup.endpoints.reduce((n, e) => n + e.requests.length, 0);
 
@@ -88,8 +88,8 @@
 });
 
 test('a response without a length that is reset midway never looks complete', async () => {
-  const cut: RawAnswer = (req) => {
-    req.socket.write(answerHead(req, '200 OK', ['Connection: close']) + 'half of it');
+  const cut: RawResponder = (req) => {
+    req.socket.write(responseHead(req, '200 OK', ['Connection: close']) + 'half of it');
     setTimeout(() => req.socket.resetAndDestroy(), 30);
   };
   await withEndpoints([cut], { kind: 'once' }, async (setup) => {
@@ -101,8 +101,8 @@
 });
 
 test('a reset directly after the bytes of a response does not count as its end', async () => {
-  const cut: RawAnswer = (req) => {
-    req.socket.write(answerHead(req, '200 OK', ['Connection: close']) + 'half', () =>
+  const cut: RawResponder = (req) => {
+    req.socket.write(responseHead(req, '200 OK', ['Connection: close']) + 'half', () =>
       req.socket.resetAndDestroy(),
     );
   };
@@ -113,22 +113,23 @@
 });
 
 test('a response without a length is complete when its connection closes cleanly', async () => {
-  const unframed: RawAnswer = (req) =>
-    req.socket.end(answerHead(req, '200 OK', ['Connection: close']) + 'all of it');
+  const unframed: RawResponder = (req) =>
+    req.socket.end(responseHead(req, '200 OK', ['Connection: close']) + 'all of it');
   await withEndpoints([unframed], { kind: 'once' }, async (setup) => {
     const response = await setup.testGateway.send('q-1');
     assert.deepEqual([response.status, response.body, response.complete], [200, 'all of it', true]);
   });
 });
 
-const invalidResponses: readonly (readonly [string, RawAnswer])[] = [
+const invalidResponses: readonly (readonly [string, RawResponder])[] = [
   [
     'is shorter than its length',
-    (req) => req.socket.end(answerHead(req, '200 OK', ['Content-Length: 99']) + 'x'),
+    (req) => req.socket.end(responseHead(req, '200 OK', ['Content-Length: 99']) + 'x'),
   ],
   [
     'is truncated inside a chunk',
-    (req) => req.socket.end(answerHead(req, '200 OK', ['Transfer-Encoding: chunked']) + '9\r\nabc'),
+    (req) =>
+      req.socket.end(responseHead(req, '200 OK', ['Transfer-Encoding: chunked']) + '9\r\nabc'),
   ],
   ['is not HTTP', (req) => req.socket.end('garbage\r\n\r\n')],
   [
@@ -140,7 +141,8 @@
   ],
   [
     'has the id of another request',
-    (req) => req.socket.write(okAnswer({ ...req, headers: { 'x-request-id': 'other' } }, 'theirs')),
+    (req) =>
+      req.socket.write(okResponse({ ...req, headers: { 'x-request-id': 'other' } }, 'theirs')),
   ],
   [
     'has no request id',
@@ -151,12 +153,12 @@
     'has a content encoding',
     (req) =>
       req.socket.write(
-        answerHead(req, '200 OK', ['Content-Encoding: gzip', 'Content-Length: 2']) + 'hi',
+        responseHead(req, '200 OK', ['Content-Encoding: gzip', 'Content-Length: 2']) + 'hi',
       ),
   ],
   [
     'is a 503 that does not state "not run"',
-    (req) => req.socket.write(answerHead(req, '503 Service Unavailable', ['Content-Length: 0'])),
+    (req) => req.socket.write(responseHead(req, '503 Service Unavailable', ['Content-Length: 0'])),
   ],
 ];
 
@@ -179,9 +181,9 @@
 }
 
 test('a surplus response is never taken for the response to the next request', async () => {
-  const twice: RawAnswer = (req) => {
-    req.socket.write(okAnswer(req, 'first'));
-    setTimeout(() => req.socket.write(okAnswer(req, 'again')), 20);
+  const twice: RawResponder = (req) => {
+    req.socket.write(okResponse(req, 'first'));
+    setTimeout(() => req.socket.write(okResponse(req, 'again')), 20);
   };
   await withEndpoints([twice], { kind: 'once' }, async (setup) => {
     for (let i = 0; i < 4; i += 1) {
@@ -202,7 +204,7 @@
 ];
 for (const [status, proof] of notRunResponses) {
   test(`${status} that proves "not run" is retried once on another endpoint`, async () => {
-    const refuseAsNotRun: RawAnswer = (req) =>
+    const refuseAsNotRun: RawResponder = (req) =>
       req.socket.write(`HTTP/1.1 ${status}\r\n${proof}\r\nContent-Length: 0\r\n\r\n`);
     await withEndpoints(
       [refuseAsNotRun, respondOk],
@@ -238,8 +240,10 @@
 });
 
 test("an endpoint's own error response is forwarded unaltered", async () => {
-  const failed: RawAnswer = (req) =>
-    req.socket.write(answerHead(req, '500 Internal Server Error', ['Content-Length: 4']) + 'oops');
+  const failed: RawResponder = (req) =>
+    req.socket.write(
+      responseHead(req, '500 Internal Server Error', ['Content-Length: 4']) + 'oops',
+    );
   await withEndpoints([failed], { kind: 'once' }, async (setup) => {
     const response = await setup.testGateway.send('q-1');
     assert.deepEqual(
@@ -254,7 +258,7 @@
 });
 
 test('a stalled endpoint is abandoned early enough to respond within the route timeout', async () => {
-  const silent: RawAnswer = () => undefined;
+  const silent: RawResponder = () => undefined;
   await withEndpoints([silent, respondOk], { targetMs: 100 }, async (setup) => {
     const response = await setup.testGateway.send('q-1');
     assert.equal(response.body, 'fine');
@@ -268,8 +272,8 @@
 });
 
 test('retries stay within the retry budget', async () => {
-  const failed: RawAnswer = (req) =>
-    req.socket.write(answerHead(req, '500 Internal Server Error', ['Content-Length: 0']));
+  const failed: RawResponder = (req) =>
+    req.socket.write(responseHead(req, '500 Internal Server Error', ['Content-Length: 0']));
   await withEndpoints([failed, failed, failed], { maxAttempts: 3 }, async (setup) => {
     for (let i = 0; i < 60; i += 1) await setup.testGateway.send(`q-${i}`);
     // This entry's part of the 480 extra retries of all entries, plus a share of the requests.
@@ -283,7 +287,7 @@
 
 test('a request is aborted at the endpoint when its caller disconnects', async () => {
   let closedAfterMs = Number.POSITIVE_INFINITY;
-  const slow: RawAnswer = (req) => {
+  const slow: RawResponder = (req) => {
     const at = performance.now();
     req.socket.on('close', () => (closedAfterMs = performance.now() - at));
   };
@@ -320,7 +324,7 @@
   assert.equal((await testGateway.send('q-3', { path: '/open/1' })).status, 200);
   assert.equal((await testGateway.send('q-4', { path: '/unknown/1' })).status, 503);
   assert.equal(raw.requests.length, 2);
-  testGateway.state.proveConfig(nowMs);
+  testGateway.state.confirmConfig(nowMs);
   assert.equal((await testGateway.send('q-5')).status, 200);
   testGateway.close();
   raw.close();
@@ -355,9 +359,9 @@
 });
 
 test('chunked requests and responses are forwarded completely', async () => {
-  const chunked: RawAnswer = (req) =>
+  const chunked: RawResponder = (req) =>
     req.socket.write(
-      answerHead(req, '200 OK', ['Transfer-Encoding: chunked']) +
+      responseHead(req, '200 OK', ['Transfer-Encoding: chunked']) +
         chunk('ab') +
         chunk('cd') +
         chunk(''),
--- a/test/gateway/crashing-request.test.ts
+++ b/test/gateway/crashing-request.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { setTimeout as wait } from 'node:timers/promises';
-import type { CrashNews } from '../../src/generated/messages.types.js';
+import type { CrashUpdate } from '../../src/generated/messages.types.js';
 import { startRawEndpoint } from '../../fakes/raw-endpoint/index.js';
 import {
   config,
@@ -46,13 +46,13 @@
   );
   const listed = endpoints.map(({ address }, i) => endpoint(`e-${i}`, address));
   const gateways: TestGateway[] = [];
-  const sendToAll = (news: CrashNews): void => {
+  const sendToAll = (news: CrashUpdate): void => {
     for (const { ctx } of gateways) ctx.crashes.evidence.merge(news);
   };
   for (let i = 0; i < entries; i += 1)
     gateways.push(await startGateway(config([route()]), listed, { broadcastCrashes: sendToAll }));
   const confirmTimer = setInterval(() => {
-    for (const { state, ctx } of gateways) state.proveConfig(ctx.ageClock.nowMs());
+    for (const { state, ctx } of gateways) state.confirmConfig(ctx.ageClock.nowMs());
   }, CONFIRM_INTERVAL_MS);
   try {
     await run({ endpoints, gateways });
--- a/test/gateway/group-status.test.ts
+++ b/test/gateway/group-status.test.ts
@@ -14,7 +14,7 @@
 import { GroupStatus, type PollGroup, type GroupLoad } from '../../src/gateway/group-status.js';
 import type { GroupDigest } from '../../src/generated/messages.types.js';
 import { config } from './harness.js';
-import { ENGINE, groupDigest } from '../fixtures/engine.js';
+import { ENGINE_INFO, groupDigest } from '../fixtures/engine.js';
 import { until } from '../fixtures/until.js';
 
 const SMALL = asId<ServiceId>('small');
@@ -23,7 +23,7 @@
 
 const service = (id: ServiceId): [ServiceId, ServiceInfo] => [
   id,
-  { id, maxConnections: 100, engine: ENGINE },
+  { id, maxConnections: 100, engine: ENGINE_INFO },
 ];
 
 function engine(id: string, of: ServiceId, host: string, dataCentre: string): PublishedEndpoint {
--- a/test/gateway/groups.test.ts
+++ b/test/gateway/groups.test.ts
@@ -4,13 +4,13 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import { asId, type GroupId } from '../../src/core/ids/index.js';
 import {
-  answerHead,
-  okAnswer,
+  responseHead,
+  okResponse,
   startRawEndpoint,
-  type RawAnswer,
+  type RawResponder,
   type RawEndpoint,
 } from '../../fakes/raw-endpoint/index.js';
-import { ENGINE } from '../fixtures/engine.js';
+import { ENGINE_INFO } from '../fixtures/engine.js';
 import {
   config,
   endpoint,
@@ -22,10 +22,12 @@
 } from './harness.js';
 
 const RANKS = 3;
-const ok: RawAnswer = (req) => req.socket.write(okAnswer(req, 'fine'));
+const ok: RawResponder = (req) => req.socket.write(okResponse(req, 'fine'));
 /** Answer of the engines of a group that has lost a rank. */
-const broken: RawAnswer = (req) =>
-  req.socket.write(answerHead(req, '503 Group Broken', ['X-Not-Executed: 1', 'Content-Length: 0']));
+const broken: RawResponder = (req) =>
+  req.socket.write(
+    responseHead(req, '503 Group Broken', ['X-Not-Executed: 1', 'Content-Length: 0']),
+  );
 
 interface Harness {
   readonly under: TestGateway;
@@ -35,14 +37,14 @@
 
 /** Runs a gateway with groups of three ranks; all ranks of a group give the same answer. */
 async function withGroups(
-  answers: readonly RawAnswer[],
+  answers: readonly RawResponder[],
   run: (harness: Harness) => Promise<void>,
 ): Promise<void> {
   const raw: RawEndpoint[][] = [];
   for (const answer of answers)
     raw.push(await Promise.all(Array.from({ length: RANKS }, () => startRawEndpoint(answer))));
   const listed = raw.flatMap((ranks, g) => ranks.map((r, i) => endpoint(`g${g}-${i}`, r.address)));
-  const service = { id: asId(SERVICE), maxConnections: 100, engine: ENGINE } as const;
+  const service = { id: asId(SERVICE), maxConnections: 100, engine: ENGINE_INFO } as const;
   const services = new Map([[service.id, service]]);
   const under = await startGateway(
     config([route({ maxAttempts: 2 })], { services } as never),
@@ -80,9 +82,9 @@
 });
 
 /** Answer of a rank that requests a backoff of 2 s. */
-const backingOff: RawAnswer = (req) =>
+const backingOff: RawResponder = (req) =>
   req.socket.write(
-    answerHead(req, '503 Full', ['X-Not-Executed: 1', 'Retry-After: 2', 'Content-Length: 0']),
+    responseHead(req, '503 Full', ['X-Not-Executed: 1', 'Retry-After: 2', 'Content-Length: 0']),
   );
 
 test('while all ranks of a group back off, no request queues for it and another group serves', async () => {
@@ -94,7 +96,7 @@
 
 test('callers that retry after a refusal for backoff are not mistaken for new callers with a shorter deadline', async () => {
   let isBackingOff = false;
-  const answer: RawAnswer = (req) => (isBackingOff ? backingOff : ok)(req);
+  const answer: RawResponder = (req) => (isBackingOff ? backingOff : ok)(req);
   await withGroups([answer], async ({ under }) => {
     const request = (id: string, waitsMs: number): Promise<TestResponse> =>
       under.send(id, { headers: { 'x-deadline-ms': String(waitsMs) } });
--- a/test/gateway/service-groups.test.ts
+++ b/test/gateway/service-groups.test.ts
@@ -3,7 +3,7 @@
 import { asId, type EndpointId, type GroupId } from '../../src/core/ids/index.js';
 import type { DataCentreId, PublishedEndpoint } from '../../src/core/published/index.js';
 import { ServiceGroups } from '../../src/gateway/service-groups.js';
-import { ENGINE } from '../fixtures/engine.js';
+import { ENGINE_INFO } from '../fixtures/engine.js';
 import { endpoint } from './harness.js';
 
 const NEAR = asId<GroupId>('near');
@@ -35,7 +35,7 @@
   const groups = new ServiceGroups({
     clock: { nowMs: () => clock.atMs, wallMs: () => clock.atMs },
     dataCentre: asId('a'),
-    engine: () => ENGINE,
+    engine: () => ENGINE_INFO,
     endpoints: () => ENGINES,
     groupOf: (e) => asId<GroupId>(e.id.slice('e-'.length)),
     loadOf: () => undefined,
