--- a/test/gateway/shared-slots.test.ts
+++ b/test/gateway/shared-slots.test.ts
@@ -9,7 +9,7 @@
 import { test } from 'node:test';
 import { seededRandom } from '../../src/core/clock/index.js';
 import { SlotQueue } from '../../src/gateway/slot-queue.js';
-import { ENGINE } from '../fixtures/engine.js';
+import { ENGINE_INFO } from '../fixtures/engine.js';
 
 const RANKS = 63;
 /** Gives each entry eight slots, as 40 entries have with a limit of 331. */
@@ -43,7 +43,7 @@
   let latest = { ranks: RANKS, running: 0, entries: ENTRIES, countedAtMs: 0 };
   const queues = Array.from(
     { length: ENTRIES },
-    () => new SlotQueue({ clock, engine: () => ENGINE, size: () => latest }),
+    () => new SlotQueue({ clock, engine: () => ENGINE_INFO, size: () => latest }),
   );
   const due = new Map<number, (() => void)[]>();
   const after = (ms: number, run: () => void): void => {
--- a/test/gateway/signalling-endpoint.ts
+++ b/test/gateway/signalling-endpoint.ts
@@ -1,5 +1,5 @@
 /** Endpoints that send backpressure signals and record the requests that they receive. */
-import { startRawEndpoint, answerHead, type RawRequest } from '../../fakes/raw-endpoint/index.js';
+import { startRawEndpoint, responseHead, type RawRequest } from '../../fakes/raw-endpoint/index.js';
 
 /** Service time of an ordinary request, ms. */
 const SERVICE_TIME_MS = 20;
@@ -51,7 +51,7 @@
     const line = status ? `${status} Turned Away` : '200 OK';
     const body = status ? '' : 'ok';
     const allHeaders = [...headers, ...(status ? ['X-Not-Executed: 1'] : [])];
-    const head = answerHead(req, line, [...allHeaders, `Content-Length: ${body.length}`]);
+    const head = responseHead(req, line, [...allHeaders, `Content-Length: ${body.length}`]);
     req.socket.write(head + body);
   };
   const raw = await startRawEndpoint((req) => {
--- a/test/gateway/slot-queue.test.ts
+++ b/test/gateway/slot-queue.test.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../../src/core/clock/index.js';
 import type { GroupLoad } from '../../src/gateway/group-status.js';
 import { SlotQueue } from '../../src/gateway/slot-queue.js';
-import { ENGINE } from '../fixtures/engine.js';
+import { ENGINE_INFO } from '../fixtures/engine.js';
 
 /** Clock that advances by 10 ms per read, so that machine load has no effect. */
 class StepClock implements Clock {
@@ -22,7 +22,7 @@
 function slotQueueOf(size: () => GroupLoad | undefined): SlotQueue {
   return new SlotQueue({
     clock,
-    engine: () => ENGINE,
+    engine: () => ENGINE_INFO,
     size,
   });
 }
--- a/test/gateway/stream.test.ts
+++ b/test/gateway/stream.test.ts
@@ -3,11 +3,11 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import fc from 'fast-check';
 import {
-  answerHead,
+  responseHead,
   chunk,
   event,
   startRawEndpoint,
-  type RawAnswer,
+  type RawResponder,
   type RawEndpoint,
   type RawRequest,
 } from '../../fakes/raw-endpoint/index.js';
@@ -25,10 +25,10 @@
 });
 
 const head = (req: RawRequest): string =>
-  answerHead(req, '200 OK', ['Content-Type: text/event-stream', 'Transfer-Encoding: chunked']);
+  responseHead(req, '200 OK', ['Content-Type: text/event-stream', 'Transfer-Encoding: chunked']);
 
 /** Sends the events `from` to `to` as chunks, then calls `end`. */
-function sendEvents(from: number, to: number, end: (req: RawRequest) => void): RawAnswer {
+function sendEvents(from: number, to: number, end: (req: RawRequest) => void): RawResponder {
   return (req) => {
     req.socket.write(head(req));
     for (let id = from; id <= to; id += 1) req.socket.write(chunk(event(id)));
@@ -40,7 +40,7 @@
 const resetConnection = (req: RawRequest): void => void req.socket.resetAndDestroy();
 
 async function withStreamEndpoints(
-  answers: readonly RawAnswer[],
+  answers: readonly RawResponder[],
   run: (testGateway: TestGateway, endpoints: readonly RawEndpoint[]) => Promise<void>,
   resumable = true,
 ): Promise<void> {
@@ -79,7 +79,7 @@
 
 test('each event is forwarded immediately', async () => {
   let sendSecond = (): void => undefined;
-  const pacedAnswer: RawAnswer = (req) => {
+  const pacedAnswer: RawResponder = (req) => {
     req.socket.write(head(req) + chunk(event(1)));
     sendSecond = () => void req.socket.write(chunk(event(2)) + chunk(''));
   };
@@ -114,7 +114,7 @@
   ];
   for (const end of failures) {
     let first = true;
-    const answer: RawAnswer = (req) => {
+    const answer: RawResponder = (req) => {
       if (first) {
         first = false;
         return sendEvents(1, 3, end)(req);
@@ -153,7 +153,7 @@
 });
 
 test('a caller resumes its stream after the last event that it received', async () => {
-  const answer: RawAnswer = (req) => {
+  const answer: RawResponder = (req) => {
     assert.equal(req.headers['last-event-id'], '12');
     sendEvents(13, 14, endStream)(req);
   };
@@ -165,7 +165,7 @@
 
 test('a stalled stream is resumed on another endpoint', async () => {
   let first = true;
-  const answer: RawAnswer = (req) => {
+  const answer: RawResponder = (req) => {
     if (!first) return sendEvents(3, 4, endStream)(req);
     first = false;
     sendEvents(1, 2, () => undefined)(req);
@@ -177,7 +177,7 @@
 });
 
 test('a stream is cut at the timeout of its route', async () => {
-  const endless: RawAnswer = (req) => {
+  const endless: RawResponder = (req) => {
     req.socket.write(head(req));
     let id = 0;
     const timer = setInterval(() => req.socket.write(chunk(event((id += 1)))), 100);
@@ -192,7 +192,7 @@
 
 test('a stream is aborted at the endpoint when its caller disconnects', async () => {
   let closed = false;
-  const answer: RawAnswer = (req) => {
+  const answer: RawResponder = (req) => {
     req.socket.write(head(req) + chunk(event(1)));
     req.socket.on('close', () => (closed = true));
   };
@@ -213,7 +213,7 @@
   });
   const backingOff = await startRawEndpoint((req) =>
     req.socket.write(
-      answerHead(req, '503 Full', ['Retry-After: 5', 'X-Not-Executed: 1', 'Content-Length: 0']),
+      responseHead(req, '503 Full', ['Retry-After: 5', 'X-Not-Executed: 1', 'Content-Length: 0']),
     ),
   );
   const listed = [endpoint('e-0', slow.address), endpoint('e-1', backingOff.address)];
--- a/test/group/coordinator-election.test.ts
+++ b/test/group/coordinator-election.test.ts
@@ -33,22 +33,22 @@
   for (const rank of [0, 1, 5]) {
     const { election, time } = createAgent(rank);
     const dueMs = takeoverTimeoutMs(RANKS) + rank * TAKEOVER_STAGGER_MS;
-    await time.playUntil(dueMs);
+    await time.runUntil(dueMs);
     assert.equal(election.shouldCoordinate(), false);
-    await time.playUntil(dueMs + 1);
+    await time.runUntil(dueMs + 1);
     assert.equal(election.shouldCoordinate(), true);
   }
 });
 
 test('an agent whose rank is unknown never coordinates', async () => {
   const { election, time } = createAgent(undefined);
-  await time.playUntil(60_000);
+  await time.runUntil(60_000);
   assert.equal(election.shouldCoordinate(), false);
 });
 
 test('of two coordinators the one with the lower address continues', async () => {
   const { election, time, metrics } = createAgent(3);
-  await time.playUntil(10_000);
+  await time.runUntil(10_000);
   assert.equal(election.shouldCoordinate(), true);
   election.recordPoll('10.0.0.4:1');
   assert.equal(election.shouldCoordinate(), true);
@@ -60,7 +60,7 @@
 
 test('a candidate does not take over when another agent reports a recent coordinator', async () => {
   const { election, time, metrics } = createAgent(3);
-  await time.playUntil(10_000);
+  await time.runUntil(10_000);
   assert.equal(election.isCandidate(), true);
   election.recordReply(rankReply(7, { heard: { from: '10.0.0.4:1', agoMs: 100 } }));
   assert.equal(election.isCandidate(), true, 'a coordinator with a higher address yields');
@@ -68,7 +68,7 @@
   assert.equal(election.shouldCoordinate(), false);
   assert.equal(metrics.value('coordinator_changes_total', { to: 'self' }), 0);
   // The timeout counts from when the coordinator was observed, not from when that was reported.
-  await time.playUntil(9700 + takeoverTimeoutMs(RANKS) + 3 * TAKEOVER_STAGGER_MS + 1);
+  await time.runUntil(9700 + takeoverTimeoutMs(RANKS) + 3 * TAKEOVER_STAGGER_MS + 1);
   assert.equal(election.shouldCoordinate(), true);
 });
 
@@ -76,10 +76,10 @@
   const { election, time } = createAgent(9);
   assert.equal(election.recentPollerExcept(undefined), undefined);
   election.recordPoll('10.0.0.0:1');
-  await time.playUntil(250);
+  await time.runUntil(250);
   election.recordPoll('10.0.0.3:1');
   assert.deepEqual(election.recentPollerExcept('10.0.0.3:1'), { from: '10.0.0.0:1', agoMs: 250 });
   assert.equal(election.recentPollerExcept('10.0.0.0:1'), undefined);
-  await time.playUntil(takeoverTimeoutMs(RANKS) + 1);
+  await time.runUntil(takeoverTimeoutMs(RANKS) + 1);
   assert.equal(election.recentPollerExcept('10.0.0.3:1'), undefined, 'the poll is too old');
 });
--- a/test/group/coordinator-simulation.ts
+++ b/test/group/coordinator-simulation.ts
@@ -20,7 +20,7 @@
   slots: 4,
   layers: 1,
   slotsPerRank: 3,
-  mostNew: 2,
+  maxNewPerRankAndLayer: 2,
   copyMs: 100,
   expertGb: 2,
   stepMs: 5,
@@ -83,7 +83,7 @@
     copyMs: options.copyMs,
     lateShare: () => options.lateShare,
     checksFences: true,
-    noAnswerMs: options.replyTimeoutMs,
+    answerTimeoutMs: options.replyTimeoutMs,
     shiftSteps: options.shiftSteps,
   });
   const frozen = new Set<number>();
--- a/test/group/coordinator-task.test.ts
+++ b/test/group/coordinator-task.test.ts
@@ -17,10 +17,10 @@
 
 test('a skewed group gets new maps without delaying its steps', async () => {
   const simulation = start(1, 1);
-  await simulation.time.playUntil(20_000);
+  await simulation.time.runUntil(20_000);
   assert.ok(simulation.metrics.value('switch_rounds_total', { end: 'switched' }) >= 1);
   assert.ok((simulation.group.maps()[0] ?? 0) > 0);
-  assert.deepEqual(simulation.group.mixed, []);
+  assert.deepEqual(simulation.group.mixedSteps, []);
   assert.ok(
     simulation.group.longestHoldMs <= 80,
     `${simulation.group.longestHoldMs} ms between two steps`,
@@ -32,20 +32,20 @@
     const simulation = start(seed, 1);
     // Freeze a rank's agent while an arm order is in transit.
     while (!simulation.orders.some((order) => order.kind === 'arm'))
-      await simulation.time.playUntil(simulation.time.nowMs() + 1);
-    await simulation.time.playUntil(simulation.time.nowMs() + seed);
+      await simulation.time.runUntil(simulation.time.nowMs() + 1);
+    await simulation.time.runUntil(simulation.time.nowMs() + seed);
     simulation.frozen.add(2);
-    await simulation.time.playUntil(simulation.time.nowMs() + 5000);
+    await simulation.time.runUntil(simulation.time.nowMs() + 5000);
     assert.ok(
       simulation.group.longestHoldMs < 1500,
       `seed ${seed}: ${simulation.group.longestHoldMs} ms`,
     );
-    assert.deepEqual(simulation.group.mixed, [], `seed ${seed}`);
+    assert.deepEqual(simulation.group.mixedSteps, [], `seed ${seed}`);
     // What the agent does after it resumes must have no effect.
     simulation.frozen.clear();
     const { step } = simulation.group;
-    await simulation.time.playUntil(simulation.time.nowMs() + 5000);
-    assert.deepEqual(simulation.group.mixed, [], `seed ${seed}`);
+    await simulation.time.runUntil(simulation.time.nowMs() + 5000);
+    assert.deepEqual(simulation.group.mixedSteps, [], `seed ${seed}`);
     assert.ok(
       simulation.group.step > step + 80,
       `seed ${seed}: ${simulation.group.step - step} steps`,
@@ -57,14 +57,14 @@
   for (let seed = 1; seed <= 20; seed += 1) {
     const simulation = start(seed, 2);
     while (!simulation.orders.some((order) => order.kind === 'arm'))
-      await simulation.time.playUntil(simulation.time.nowMs() + 3);
-    await simulation.time.playUntil(simulation.time.nowMs() + seed);
+      await simulation.time.runUntil(simulation.time.nowMs() + 3);
+    await simulation.time.runUntil(simulation.time.nowMs() + seed);
     simulation.frozen.add(0);
-    await simulation.time.playUntil(simulation.time.nowMs() + 5000);
+    await simulation.time.runUntil(simulation.time.nowMs() + 5000);
     assert.ok(
       simulation.group.longestHoldMs < 2000,
       `seed ${seed}: ${simulation.group.longestHoldMs} ms`,
     );
-    assert.deepEqual(simulation.group.mixed, [], `seed ${seed}`);
+    assert.deepEqual(simulation.group.mixedSteps, [], `seed ${seed}`);
   }
 });
--- a/test/group/large-group.test.ts
+++ b/test/group/large-group.test.ts
@@ -35,9 +35,9 @@
 
 test('a slow round causes no takeover, and new maps still take effect', async () => {
   const simulation = start(380);
-  await simulation.time.playUntil(SLOW.from);
+  await simulation.time.runUntil(SLOW.from);
   const before = roundCount(simulation, 'switched');
-  await simulation.time.playUntil(SLOW.to);
+  await simulation.time.runUntil(SLOW.to);
   assert.equal(takeoverCount(simulation), 1, 'rank 0 started, no other agent took over');
   assert.equal(roundCount(simulation, 'blocked'), 0);
   // Demand shifts every 3.6 s, and a round lasts 2 s.
@@ -45,26 +45,26 @@
     roundCount(simulation, 'switched') - before >= 3,
     `${roundCount(simulation, 'switched') - before} maps`,
   );
-  assert.deepEqual(simulation.group.mixed, []);
+  assert.deepEqual(simulation.group.mixedSteps, []);
 });
 
 test('when the coordinator of a large group freezes, another takes over and new maps take effect', async () => {
   const simulation = start(0);
-  await simulation.time.playUntil(6000);
+  await simulation.time.runUntil(6000);
   assert.deepEqual(simulation.coordinating(), [0]);
   simulation.frozen.add(0);
-  await simulation.time.playUntil(9000);
+  await simulation.time.runUntil(9000);
   assert.deepEqual(simulation.coordinating(), [1]);
   simulation.frozen.clear();
   const before = roundCount(simulation, 'switched');
-  await simulation.time.playUntil(16_000);
+  await simulation.time.runUntil(16_000);
   assert.deepEqual(
     simulation.coordinating(),
     [0],
     'of two coordinators the one with the lower address continues',
   );
   assert.ok(roundCount(simulation, 'switched') > before);
-  assert.deepEqual(simulation.group.mixed, []);
+  assert.deepEqual(simulation.group.mixedSteps, []);
 });
 
 /**
@@ -89,15 +89,15 @@
     mapBytes: 22_000,
     usesElection: true,
   });
-  await simulation.time.playUntil(4000);
+  await simulation.time.runUntil(4000);
   const before = roundCount(simulation, 'switched');
-  await simulation.time.playUntil(21_500);
+  await simulation.time.runUntil(21_500);
   assert.equal(takeoverCount(simulation), 1);
   assert.equal(roundCount(simulation, 'blocked'), 0);
   // Demand shifts at 7.2, 10.8, 14.4 and 18.0 s.
   const maps = roundCount(simulation, 'switched') - before;
   assert.ok(maps >= 4, `${maps} maps`);
-  assert.deepEqual(simulation.group.mixed, []);
+  assert.deepEqual(simulation.group.mixedSteps, []);
 });
 
 test('agents that freeze while forwarding orders cause no mixed maps, and switching resumes', async () => {
@@ -121,10 +121,10 @@
       if (simulation.time.nowMs() < 20_000) simulation.time.after(700 + 2500 * random(), freeze);
     };
     simulation.time.after(2000, freeze);
-    await simulation.time.playUntil(36_000);
+    await simulation.time.runUntil(36_000);
     const before = roundCount(simulation, 'switched');
-    await simulation.time.playUntil(44_000);
-    assert.deepEqual(simulation.group.mixed, [], `seed ${seed}`);
+    await simulation.time.runUntil(44_000);
+    assert.deepEqual(simulation.group.mixedSteps, [], `seed ${seed}`);
     assert.ok(
       roundCount(simulation, 'switched') > before,
       `seed ${seed}: no new map after the freezes`,
--- a/test/group/switch-engine.test.ts
+++ b/test/group/switch-engine.test.ts
@@ -5,7 +5,7 @@
 test('without faults a group switches repeatedly without delaying steps', async () => {
   const { group, switched } = await simulate(1, NO_FAULTS);
   assert.ok(switched > 50, `${switched} switches`);
-  assert.deepEqual(group.mixed, []);
+  assert.deepEqual(group.mixedSteps, []);
   assert.ok(group.longestHoldMs <= 80, `${group.longestHoldMs} ms between two steps`);
 });
 
--- a/test/group/switch-races.test.ts
+++ b/test/group/switch-races.test.ts
@@ -37,7 +37,7 @@
   let mixed = 0;
   for (let seed = 1; seed <= 40 && mixed === 0; seed += 1) {
     const { group, stepsAfter } = await simulate(seed, faults, { checksFences: false });
-    if (group.mixed.length > 0 || stepsAfter < 180) mixed += 1;
+    if (group.mixedSteps.length > 0 || stepsAfter < 180) mixed += 1;
   }
   assert.ok(mixed > 0);
 });
--- a/test/group/switch-simulation.ts
+++ b/test/group/switch-simulation.ts
@@ -134,9 +134,9 @@
     time.after(500 + random() * 4000, injectFaults);
   };
   time.after(1000, injectFaults);
-  await time.playUntil(FAULT_PHASE_MS + RECOVERY_PHASE_MS / 2);
+  await time.runUntil(FAULT_PHASE_MS + RECOVERY_PHASE_MS / 2);
   const before = group.step;
-  await time.playUntil(FAULT_PHASE_MS + RECOVERY_PHASE_MS);
+  await time.runUntil(FAULT_PHASE_MS + RECOVERY_PHASE_MS);
   return { group, switched, stepsAfter: group.step - before };
 }
 
@@ -155,7 +155,7 @@
 export async function assertRecovers(faults: Faults): Promise<void> {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const { group, stepsAfter } = await simulate(seed, faults);
-    assert.deepEqual(group.mixed, [], `seed ${seed}`);
+    assert.deepEqual(group.mixedSteps, [], `seed ${seed}`);
     assert.ok(stepsAfter > MIN_STEPS_AFTER, `seed ${seed}: ${stepsAfter} steps after the faults`);
   }
 }
--- a/test/platform/process.test.ts
+++ b/test/platform/process.test.ts
@@ -15,8 +15,8 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { setTimeout as wait } from 'node:timers/promises';
-import { listensForSignals } from '../../bench/soak/signals.js';
-import { okAnswer, startRawEndpoint } from '../../fakes/raw-endpoint/index.js';
+import { handlesSignals } from '../../bench/soak/signals.js';
+import { okResponse, startRawEndpoint } from '../../fakes/raw-endpoint/index.js';
 import { startStore } from '../../fakes/store/index.js';
 import { until } from '../fixtures/until.js';
 import { bootText } from './boot-text.js';
@@ -111,7 +111,7 @@
 test('an entry becomes ready, serves, survives SIGHUP, and completes in-flight requests on SIGTERM', async () => {
   const store = await startStore();
   const endpoint = await startRawEndpoint((req) =>
-    setTimeout(() => req.socket.write(okAnswer(req, 'fine')), 400),
+    setTimeout(() => req.socket.write(okResponse(req, 'fine')), 400),
   );
   store.put('op/config', CONFIG);
   store.put('servers/i-1', {
@@ -232,7 +232,7 @@
       child.on('exit', (code, signal) => resolve(code ?? signal)),
     );
     try {
-      await until('listens for signals', () => listensForSignals(child.pid ?? 0));
+      await until('listens for signals', () => handlesSignals(child.pid ?? 0));
       child.kill('SIGHUP');
       child.kill('SIGTERM');
       await wait(100);
--- a/test/platform/store-client.test.ts
+++ b/test/platform/store-client.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { connectStore, type WatchScope } from '../../platform/store-client.js';
-import { startStore, type StoreFake, type StoreMood } from '../../fakes/store/index.js';
+import { startStore, type FakeStore, type StoreMode } from '../../fakes/store/index.js';
 import {
   findRoute,
   type PublishedConfig,
   type PublishedRead,
   type PublishedSource,
   type ReadFault,
-  type Watched,
+  type WatchResult,
 } from '../../src/core/published/index.js';
 
 const CONFIG = {
@@ -51,7 +51,7 @@
 const ENDPOINT = { service: 's-1', address: '10.0.0.1:80', zone: 'a', slots: 6, state: 'ready' };
 
 async function withStore(
-  run: (store: StoreFake, source: PublishedSource) => Promise<void>,
+  run: (store: FakeStore, source: PublishedSource) => Promise<void>,
   scope: WatchScope = 'all',
 ): Promise<void> {
   const store = await startStore();
@@ -77,7 +77,7 @@
   source: PublishedSource,
   revision: number,
   waitMs: number,
-): Promise<Extract<Watched, { kind: 'changes' }>> {
+): Promise<Extract<WatchResult, { kind: 'changes' }>> {
   const watched = (await source.watch(revision, waitMs)).unwrap();
   assert.ok(watched.kind === 'changes');
   return watched;
@@ -117,7 +117,7 @@
 });
 
 test('a watch with the scope endpoints reports endpoints and no new configuration', async () => {
-  const run = async (store: StoreFake, source: PublishedSource): Promise<void> => {
+  const run = async (store: FakeStore, source: PublishedSource): Promise<void> => {
     const read = await readAll(source);
     assert.equal(read.config.kind, 'read');
     const waiting = watch(source, read.revision, 5000);
@@ -251,7 +251,7 @@
   });
 }
 
-const STORE_FAULTS: readonly (readonly [StoreMood, ReadFault['kind']])[] = [
+const STORE_FAULTS: readonly (readonly [StoreMode, ReadFault['kind']])[] = [
   ['busy', 'busy'],
   ['reset', 'reset'],
   ['silent', 'timeout'],
@@ -262,14 +262,14 @@
 for (const [mood, kind] of STORE_FAULTS) {
   test(`a store that is ${mood} causes an error of kind ${kind}, and later reads succeed`, async () => {
     await withStore(async (store, source) => {
-      store.mood = mood;
+      store.mode = mood;
       const read = await source.readAll();
       assert.ok(read.err);
       assert.equal((read.val as ReadFault).kind, kind);
       const watched = await source.watch(1, 20);
       assert.ok(watched.err);
       assert.equal((watched.val as ReadFault).kind, kind);
-      store.mood = 'well';
+      store.mode = 'well';
       assert.ok((await source.readAll()).ok);
     });
   });
--- a/test/rpc/peers.test.ts
+++ b/test/rpc/peers.test.ts
@@ -11,8 +11,8 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import { LoopbackProxy } from '../../bench/soak/proxy.js';
 import { createPeers } from '../../src/rpc/peers.js';
-import { serveRpc } from '../../src/rpc/serve.js';
-import { KeptConnections } from '../../src/runtime/connection-pools.js';
+import { createRpcServer } from '../../src/rpc/serve.js';
+import { ConnectionPools } from '../../src/runtime/connection-pools.js';
 
 const HELLO = { instance: 'entry-1', incarnation: 'l-1', config: 1, list: 1, leaving: false };
 /** An address that no other test listens on. */
@@ -21,12 +21,12 @@
 const CALL_TIMEOUT_MS = 1000;
 
 test('a call to a daemon that times out retires all open connections to it', async () => {
-  const server = serveRpc({ hello: () => HELLO });
+  const server = createRpcServer({ hello: () => HELLO });
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
   const proxy = await LoopbackProxy.start(PROXY, { host: '127.0.0.1', port });
-  const connections = new KeptConnections({});
+  const connections = new ConnectionPools({});
   const peers = createPeers(connections);
   const callHello = (): Promise<object> =>
     peers
@@ -36,7 +36,7 @@
     await Promise.all([callHello(), callHello(), callHello()]);
     // A connection becomes idle shortly after its response is read.
     await wait(10);
-    proxy.silence();
+    proxy.blackholeConnections();
     await assert.rejects(callHello());
     assert.deepEqual(await Promise.all([callHello(), callHello(), callHello()]), [
       HELLO,
--- a/test/runtime/connection-pools.test.ts
+++ b/test/runtime/connection-pools.test.ts
@@ -12,7 +12,7 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import type { Dispatcher } from 'undici';
 import { isTimeout } from '../../src/core/errors/index.js';
-import { KeptConnections } from '../../src/runtime/connection-pools.js';
+import { ConnectionPools } from '../../src/runtime/connection-pools.js';
 
 /** Timeout of a call, ms. */
 const CALL_TIMEOUT_MS = 150;
@@ -62,7 +62,7 @@
 
 const readText = (res: Dispatcher.ResponseData): Promise<string> => res.body.text();
 
-function get(connections: KeptConnections, origin: string): Promise<string> {
+function get(connections: ConnectionPools, origin: string): Promise<string> {
   const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
   const call = { origin, path: '/', method: 'GET' as const, signal };
   return connections.call(call, readText);
@@ -71,10 +71,10 @@
 /** Runs a test with a service and `count` idle connections to it. */
 async function withIdleConnections(
   count: number,
-  run: (service: Service, connections: KeptConnections) => Promise<void>,
+  run: (service: Service, connections: ConnectionPools) => Promise<void>,
 ): Promise<void> {
   const service = await startService();
-  const connections = new KeptConnections({ connections: 4 });
+  const connections = new ConnectionPools({ connections: 4 });
   try {
     await Promise.all(Array.from({ length: count }, () => get(connections, service.origin)));
     // A connection becomes idle shortly after its response is read.
--- a/test/soak/backpressure-check.test.ts
+++ b/test/soak/backpressure-check.test.ts
@@ -3,14 +3,14 @@
 import { test } from 'node:test';
 import { checkBackpressure } from '../../bench/soak/backpressure-check.js';
 import type { Disturbance, SoakRecord } from '../../bench/soak/record.js';
-import type { EndpointArrival, EndpointAsked } from '../../fakes/platform-engine/index.js';
+import type { EndpointArrival, EndpointSignal } from '../../fakes/platform-engine/index.js';
 
 const ENDPOINT = 'plain-0';
 
 interface Arrival {
   readonly atMs: number;
   readonly entry?: string;
-  readonly signal?: Partial<EndpointAsked>;
+  readonly signal?: Partial<EndpointSignal>;
 }
 
 /** A record of requests that reached one endpoint; each is sent at its arrival time. */
@@ -40,7 +40,7 @@
             endpoint: ENDPOINT,
             requestId: `q-${i}`,
             atMs,
-            restMs: undefined,
+            retryAfterMs: undefined,
             isLeaving: false,
             limitPerS: undefined,
             ...signal,
@@ -75,7 +75,7 @@
   untilMs,
 });
 
-const BACKOFF: Arrival = { atMs: 1000, signal: { restMs: 3000 } };
+const BACKOFF: Arrival = { atMs: 1000, signal: { retryAfterMs: 3000 } };
 const at = (...times: number[]): Arrival[] => times.map((atMs) => ({ atMs }));
 
 test('three requests during a backoff are a violation; two, requests in flight and later ones are not', () => {
--- a/test/soak/check.test.ts
+++ b/test/soak/check.test.ts
@@ -4,9 +4,9 @@
 import type { CallerRequest, RequestOutcome, SoakRecord } from '../../bench/soak/record.js';
 import {
   eventData,
-  plainAnswer,
+  completeAnswer,
   STREAM_EVENTS,
-  type EndpointRun,
+  type EndpointExecution,
 } from '../../fakes/platform-engine/index.js';
 
 function end(change: Partial<RequestOutcome> = {}): RequestOutcome {
@@ -22,12 +22,12 @@
     key: 'k-0',
     entry: 'entry-0',
     sentAtMs: 1000,
-    outcome: end({ body: plainAnswer(id) }),
+    outcome: end({ body: completeAnswer(id) }),
     ...change,
   };
 }
 
-function run(requestId: string, change: Partial<EndpointRun> = {}): EndpointRun {
+function run(requestId: string, change: Partial<EndpointExecution> = {}): EndpointExecution {
   return {
     endpoint: 'plain-0',
     requestId,
@@ -91,13 +91,13 @@
 const VIOLATIONS: readonly (readonly [string, Partial<SoakRecord>, RegExp])[] = [
   [
     'an answer of another request',
-    { requests: [request('x', { outcome: end({ body: plainAnswer('y') }) })], runs: [run('x')] },
+    { requests: [request('x', { outcome: end({ body: completeAnswer('y') }) })], runs: [run('x')] },
     /x: not its own answer/,
   ],
   [
     'a success without signature',
     {
-      requests: [request('x', { outcome: end({ body: plainAnswer('x'), isSigned: false }) })],
+      requests: [request('x', { outcome: end({ body: completeAnswer('x'), isSigned: false }) })],
       runs: [run('x')],
     },
     /without signature/,
@@ -221,7 +221,7 @@
 test('the checker reports a request that keeps running after crashing three endpoints', () => {
   const path = '/again/crash';
   const crashes = [1000, 2000, 3000].map((atMs) => ({ path, atMs }));
-  const runs = (count: number, startedAtMs: number): EndpointRun[] =>
+  const runs = (count: number, startedAtMs: number): EndpointExecution[] =>
     Array.from({ length: count }, (_, i) => run(`c-${i}`, { path, body: path, startedAtMs }));
   const requests = Array.from({ length: 4 }, (_, i) =>
     request(`c-${i}`, { kind: 'repeatable', path, body: path, outcome: undefined }),
--- a/test/soak/silent-connections.test.ts
+++ b/test/soak/silent-connections.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test';
 import { setTimeout as wait } from 'node:timers/promises';
 import { LoopbackProxy, type Address } from '../../bench/soak/proxy.js';
-import { okAnswer, startRawEndpoint, type RawAnswer } from '../../fakes/raw-endpoint/index.js';
+import { okResponse, startRawEndpoint, type RawResponder } from '../../fakes/raw-endpoint/index.js';
 import { startStore } from '../../fakes/store/index.js';
 import { connectStore } from '../../platform/store-client.js';
 import { systemClock } from '../../src/core/clock/index.js';
@@ -50,7 +50,7 @@
   );
   while (!state.config) await wait(10);
   await wait(50);
-  proxy.silence();
+  proxy.blackholeConnections();
   store.put('op/config', { ...document, version: 2 });
   const silencedAtMs = systemClock.nowMs();
   while (state.config?.version !== 2) {
@@ -64,7 +64,7 @@
 });
 
 test('requests on unresponsive kept connections are answered in time, and later ones at once', async () => {
-  const ok: RawAnswer = (req) => req.socket.write(okAnswer(req, 'fine'));
+  const ok: RawResponder = (req) => req.socket.write(okResponse(req, 'fine'));
   const raw = await Promise.all([startRawEndpoint(ok), startRawEndpoint(ok)]);
   const links = await Promise.all(
     raw.map(({ address }) => proxyTo({ host: HOST, port: Number(address.split(':')[1]) })),
@@ -72,7 +72,7 @@
   const listed = links.map(({ port }, i) => endpoint(`e-${i}`, `${HOST}:${port}`));
   const gateway = await startGateway(config([route({ targetMs: 100, maxAttempts: 2 })]), listed);
   for (let i = 0; i < 4; i += 1) assert.equal((await gateway.send(`q-${i}`)).status, 200);
-  links[0]?.proxy.silence();
+  links[0]?.proxy.blackholeConnections();
   for (let i = 4; i < 8; i += 1) {
     const got = await gateway.send(`q-${i}`);
     assert.equal(got.status, 200);
@@ -90,7 +90,7 @@
  * got no answer.
  */
 test('only one request that may run once is lost when all kept connections to an endpoint become unresponsive', async () => {
-  const ok: RawAnswer = (req) => setTimeout(() => req.socket.write(okAnswer(req, 'fine')), 30);
+  const ok: RawResponder = (req) => setTimeout(() => req.socket.write(okResponse(req, 'fine')), 30);
   const raw = await startRawEndpoint(ok);
   const { proxy, port } = await proxyTo({ host: HOST, port: Number(raw.address.split(':')[1]) });
   const cfg = config([route({ kind: 'once', timeoutMs: 300 })]);
@@ -101,7 +101,7 @@
       first.map((got) => got.status),
       [200, 200, 200, 200, 200],
     );
-    proxy.silence();
+    proxy.blackholeConnections();
     assert.equal((await gateway.send('lost')).status, 504);
     const later = await Promise.all([1, 2, 3, 4, 5].map((i) => gateway.send(`later-${i}`)));
     assert.deepEqual(
--- a/test/soak/silent-fleet.ts
+++ b/test/soak/silent-fleet.ts
@@ -6,7 +6,7 @@
 import type { Server } from 'node:http';
 import { setTimeout as wait } from 'node:timers/promises';
 import { LoopbackProxy, type Address } from '../../bench/soak/proxy.js';
-import { startStore, type StoreFake } from '../../fakes/store/index.js';
+import { startStore, type FakeStore } from '../../fakes/store/index.js';
 import { connectStore } from '../../platform/store-client.js';
 import { sleep, systemClock } from '../../src/core/clock/index.js';
 import { asId } from '../../src/core/ids/index.js';
@@ -14,17 +14,17 @@
 import { Metrics } from '../../src/core/metrics/index.js';
 import {
   entryPace,
-  ENTRY_RELAYED,
+  ENTRY_RELAYED_PACE,
   followPublished,
   PublishedRelay,
   PublishedState,
   RELAY_PACE,
   RelayedSource,
-  type FollowParts,
+  type FollowDeps,
 } from '../../src/core/published/index.js';
-import { askRelay, createPeers } from '../../src/rpc/peers.js';
-import { serveRpc } from '../../src/rpc/serve.js';
-import { KeptConnections } from '../../src/runtime/connection-pools.js';
+import { requestFromRelay, createPeers } from '../../src/rpc/peers.js';
+import { createRpcServer } from '../../src/rpc/serve.js';
+import { ConnectionPools } from '../../src/runtime/connection-pools.js';
 import { until } from '../fixtures/until.js';
 
 /**
@@ -70,7 +70,7 @@
   private ports = FIRST_PORT;
   private relays: readonly { readonly address: string; readonly control: Address }[] = [];
 
-  private constructor(private readonly store: StoreFake) {
+  private constructor(private readonly store: FakeStore) {
     // Each daemon adds a listener to this signal.
     setMaxListeners(0, this.shutdown.signal);
   }
@@ -85,7 +85,7 @@
 
   /** Makes every open connection unresponsive for good, without a reset; new ones work. */
   silence(): void {
-    for (const proxy of this.proxies) proxy.silence();
+    for (const proxy of this.proxies) proxy.blackholeConnections();
   }
 
   /** Publishes the second configuration version and lets both endpoints leave. */
@@ -105,7 +105,7 @@
     return this.states.flatMap((state, i) => [
       ...(state.config?.version === 2 ? [] : [`daemon ${i}: configuration`]),
       ...Object.values(LEAVING)
-        .filter((id) => state.takesWork(asId(id)))
+        .filter((id) => state.isAvailable(asId(id)))
         .map((id) => `daemon ${i}: endpoint ${id}`),
     ]);
   }
@@ -136,7 +136,7 @@
   async followRelays(at?: number): Promise<void> {
     const state = new PublishedState();
     this.states.push(state);
-    const peers = createPeers(new KeptConnections({ connect: { timeout: 500 } }));
+    const peers = createPeers(new ConnectionPools({ connect: { timeout: 500 } }));
     const shared = { state, clock: systemClock, log: silentLog };
     const isRelay = at !== undefined;
     const source = new RelayedSource({
@@ -144,9 +144,9 @@
       store: connectStore(await this.storeUrl()),
       relays: this.relays.filter((_, i) => i !== at).map(({ address }) => address),
       isRelay,
-      ask: askRelay(peers),
+      ask: requestFromRelay(peers),
       pause: sleep,
-      pace: ENTRY_RELAYED,
+      pace: ENTRY_RELAYED_PACE,
       wantsConfig: () => true,
     });
     const relay = new PublishedRelay({
@@ -155,11 +155,11 @@
       isDirect: () => source.isDirect,
     });
     if (isRelay) {
-      const server = serveRpc({ published: (ask) => relay.answer(ask) });
+      const server = createRpcServer({ published: (ask) => relay.answer(ask) });
       this.servers.push(server.listen(this.relays[at]?.control.port, this.host));
     }
     const pace = isRelay ? RELAY_PACE : entryPace(CONTACT_MS);
-    this.follow({ state, source, pace, onLearnt: () => relay.noteLearnt() });
+    this.follow({ state, source, pace, onRefresh: () => relay.recordChanges() });
   }
 
   /** URL of a new proxy to the store, for one daemon. */
@@ -179,7 +179,7 @@
     return { host: this.host, port: this.ports };
   }
 
-  private follow(parts: Pick<FollowParts, 'state' | 'source' | 'pace' | 'onLearnt'>): void {
+  private follow(parts: Pick<FollowDeps, 'state' | 'source' | 'pace' | 'onRefresh'>): void {
     const metrics = new Metrics();
     const common = { clock: systemClock, log: silentLog, metrics, random: Math.random };
     this.followers.push(followPublished({ ...parts, ...common }, this.shutdown.signal));
--- a/test/system/caller-limits.test.ts
+++ b/test/system/caller-limits.test.ts
@@ -4,11 +4,11 @@
 import { after, before, test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
 import {
-  askOnce,
+  sendRequest,
   Cluster,
   SERVICE,
   testKey,
-  type Ask,
+  type RequestResult,
   type Member,
 } from '../../bench/harness/index.js';
 
@@ -18,9 +18,9 @@
 before(async () => {
   cluster = await Cluster.start({
     dataCentres: ['kgl-a'],
-    entriesPerCentre: 1,
-    servicesPerCentre: 1,
-    ranksPerCentre: 1,
+    entriesPerDataCentre: 1,
+    servicesPerDataCentre: 1,
+    ranksPerDataCentre: 1,
     organisations: [
       { id: 'rwandair', weight: 1, tokensPerSecond: 100_000 },
       { id: 'akagera', weight: 1, tokensPerSecond: 100_000 },
@@ -37,8 +37,11 @@
   return first;
 }
 
-function stream(nonce: string, organisation: string, tokens: number): Promise<Ask> {
-  return askOnce({ kind: 'chat', nonce, organisation, port: entry().ports.callers }, { tokens });
+function stream(nonce: string, organisation: string, tokens: number): Promise<RequestResult> {
+  return sendRequest(
+    { kind: 'chat', nonce, organisation, port: entry().ports.callers },
+    { tokens },
+  );
 }
 
 test('an organisation with too many open requests is refused at once, another one is not', async () => {
@@ -53,7 +56,7 @@
   assert.deepEqual([refused.outcome, refused.reason], ['not-run', 'streams-exceeded']);
   assert.equal((await stream('other', 'akagera', 4)).outcome, 'answered');
   for (const ask of await Promise.all(held))
-    assert.deepEqual([ask.outcome, ask.whole], ['answered', true]);
+    assert.deepEqual([ask.outcome, ask.isComplete], ['answered', true]);
   assert.equal((await stream('later', 'rwandair', 4)).outcome, 'answered');
 });
 
--- a/test/system/request-path.test.ts
+++ b/test/system/request-path.test.ts
@@ -5,9 +5,9 @@
 import OpenAI from 'openai';
 import { request } from 'undici';
 import {
-  askOnce,
+  sendRequest,
   Cluster,
-  endProcess,
+  killProcess,
   getJson,
   MODEL,
   SERVICE,
@@ -21,9 +21,9 @@
 before(async () => {
   cluster = await Cluster.start({
     dataCentres: ['kgl-a'],
-    entriesPerCentre: 1,
-    servicesPerCentre: 1,
-    ranksPerCentre: 2,
+    entriesPerDataCentre: 1,
+    servicesPerDataCentre: 1,
+    ranksPerDataCentre: 2,
     organisations: [
       { id: 'rwandair', weight: 1, tokensPerSecond: 100_000 },
       { id: 'akagera', weight: 1, tokensPerSecond: 100_000 },
@@ -194,8 +194,8 @@
 
 test('a call that must not be repeated reaches its service once, with a request id of the entry', async () => {
   const port = Number(new URL(baseUrl).port);
-  const ask = await askOnce({ kind: 'once', nonce: 'tag-7', organisation: 'rwandair', port });
-  assert.deepEqual([ask.outcome, ask.whole], ['answered', true]);
+  const ask = await sendRequest({ kind: 'once', nonce: 'tag-7', organisation: 'rwandair', port });
+  assert.deepEqual([ask.outcome, ask.isComplete], ['answered', true]);
   const runs = (await cluster.serviceExecutions()).filter((e) => e.nonce === 'tag-7');
   assert.equal(runs.length, 1);
   assert.equal(runs[0]?.path, '/bags');
@@ -206,9 +206,9 @@
 test('a call to a stopped service is refused as not run, since nothing was sent', async () => {
   const [service] = cluster.services;
   assert.ok(service);
-  await endProcess(service.process);
+  await killProcess(service.process);
   const port = Number(new URL(baseUrl).port);
-  const ask = await askOnce({ kind: 'once', nonce: 'tag-8', organisation: 'rwandair', port });
+  const ask = await sendRequest({ kind: 'once', nonce: 'tag-8', organisation: 'rwandair', port });
   assert.equal(ask.outcome, 'not-run');
 });
 
