--- a/bench/soak/signals.ts
+++ b/bench/soak/signals.ts
@@ -5,7 +5,7 @@
 /**
  * Whether a process handles SIGHUP according to `/proc`; false if it has exited. SIGTERM cannot be
  * used for this: Node itself handles it from its start.
- * @example listensForSignals(child.pid)
+ * @example handlesSignals(child.pid)
  */
 export function handlesSignals(pid: number): boolean {
   let status: string;
--- a/src/agent/rank.ts
+++ b/src/agent/rank.ts
@@ -35,7 +35,7 @@
 const HELLO_TIMEOUT_MS = 500;
 const HTTP_NOT_FOUND = 404;
 
-/** Adapts the endpoint's order interface to the gate. */
+/** Adapts the endpoint's order interface to the switch participant. */
 function createRankEngine(endpoint: Endpoint, checksFences: boolean): RankEngine {
   return {
     read: async ({ counts }) =>
@@ -65,7 +65,7 @@
   const ownGroup = (): GroupConfig | undefined =>
     ctx.store.config?.body.groups.find((g) => g.endpoints.includes(settings.id));
   const rankIndex = (): number => ownGroup()?.endpoints.indexOf(settings.id) ?? 0;
-  const gate = new SwitchParticipant(
+  const participant = new SwitchParticipant(
     ctx.incarnation,
     createRankEngine(endpoint, settings.checksFences ?? true),
     rankIndex,
@@ -83,7 +83,7 @@
 
   async function callRank(group: GroupConfig, rank: number, order: RankOrder): Promise<RankReply> {
     const target = group.endpoints[rank] ?? '';
-    if (target === settings.id) return gate.serve(order);
+    if (target === settings.id) return participant.serve(order);
     const address = ctx.view().agentByEndpoint.get(target)?.address;
     if (!address) throw new Error(`no agent is listed for endpoint ${target}`);
     return ctx.peers
@@ -124,7 +124,7 @@
       wantsCounts: true,
       marginSteps: () => ARM_MARGIN_STEPS,
     };
-    const epoch = nextEpoch(Math.max(highestEpoch, gate.epoch), rankIndex());
+    const epoch = nextEpoch(Math.max(highestEpoch, participant.epoch), rankIndex());
     const { chooseMap } = placementRound.placement;
     lastSwitch = await runSwitch(coordination, epoch, (view) => {
       knownMap = view.map;
@@ -144,11 +144,11 @@
   }
 
   return {
-    serve: (order) => gate.serve(order),
+    serve: (order) => participant.serve(order),
     status: () => ({
       group: ownGroup()?.id,
       rank: rankIndex(),
-      promised: gate.epoch,
+      promised: participant.epoch,
       lastRound: lastSwitch,
     }),
     run: async (signal) => {
--- a/src/caller-api/organisation-limits.ts
+++ b/src/caller-api/organisation-limits.ts
@@ -52,8 +52,8 @@
       parts.clock.wallMs(),
     );
     if (refusal) {
-      const { reason, detail: facts, retryAfterS } = refusal;
-      return Err({ reason, detail: facts, ...(retryAfterS !== undefined && { retryAfterS }) });
+      const { reason, detail, retryAfterS } = refusal;
+      return Err({ reason, detail, ...(retryAfterS !== undefined && { retryAfterS }) });
     }
     for (const name of [organisation.id, target]) this.changeOpenCount(name, 1);
     return Ok(() => {
--- a/src/core/backpressure/limit-share.ts
+++ b/src/core/backpressure/limit-share.ts
@@ -50,18 +50,14 @@
  * The share of a limit that one entry may use.
  * @example limitShare({ limitPerS: 4, peers: { index: 2, count: 6 }, ringPosition: 0 }).perS // 0.67
  */
-export function limitShare({
-  limitPerS,
-  peers: sharers,
-  ringPosition: ringPlace,
-}: LimitShareInput): LimitShare {
-  const { index: place, count } = sharers;
+export function limitShare({ limitPerS, peers, ringPosition }: LimitShareInput): LimitShare {
+  const { index, count } = peers;
   const allowed = allowedInWindow(limitPerS);
   const maxPerWindow = Math.floor(allowed);
-  if (place === undefined) return { perS: limitPerS / Math.max(count, maxPerWindow), saved: 1 };
+  if (index === undefined) return { perS: limitPerS / Math.max(count, maxPerWindow), saved: 1 };
   if (count <= maxPerWindow) return shareOfEach(limitPerS, allowed / count, count);
-  const first = Math.floor(ringPlace * count);
-  const isOneOf = (place - first + count) % count < maxPerWindow;
+  const first = Math.floor(ringPosition * count);
+  const isOneOf = (index - first + count) % count < maxPerWindow;
   return { perS: isOneOf ? limitPerS / maxPerWindow : 0, saved: 1 };
 }
 
--- a/src/core/limits/stream-limit-estimator.ts
+++ b/src/core/limits/stream-limit-estimator.ts
@@ -162,13 +162,13 @@
 export function estimateInFlight({
   running,
   ageMs,
-  ownAtCount: ownThen,
+  ownAtCount,
   ownNow: own,
   entries,
 }: GroupStreamCount): number {
   const meanPerEntry = running / Math.max(1, entries);
-  const rise = Math.max(0, own - Math.max(ownThen, meanPerEntry));
-  const fall = Math.max(0, Math.min(ownThen, meanPerEntry) - own);
+  const rise = Math.max(0, own - Math.max(ownAtCount, meanPerEntry));
+  const fall = Math.max(0, Math.min(ownAtCount, meanPerEntry) - own);
   const larger = Math.max(own, meanPerEntry);
   const streamSeconds = (larger * ageMs) / 1000;
   const share = streamSeconds / (streamSeconds + HALF_WEIGHT_STREAM_SECONDS);
--- a/src/core/placement/demand.ts
+++ b/src/core/placement/demand.ts
@@ -7,7 +7,7 @@
 import type { Popularity } from './types.js';
 
 /**
- * Parameters of the estimate. The defaults are tuned on recorded counts, see docs/EXPERIMENTS.md.
+ * Parameters of the estimate; how the defaults compare is in docs/EXPERIMENTS.md.
  */
 export interface DemandOptions {
   /** Cosine similarity of newest counts and estimate below which a shift is detected. */
--- a/src/core/published/follow.ts
+++ b/src/core/published/follow.ts
@@ -212,11 +212,11 @@
   }
 
   private async markListCurrentLater(era: number): Promise<void> {
-    const { state, onRefresh: onLearnt } = this.deps;
+    const { state, onRefresh } = this.deps;
     await sleep(RESTORED_RECORD_LAPSE_MS, this.signal);
     if (this.signal.aborted || state.era !== era) return;
     state.markListCurrent();
-    onLearnt?.();
+    onRefresh?.();
   }
 
   private keepMissingUntil(untilMs: number): void {
--- a/src/daemon/entry.ts
+++ b/src/daemon/entry.ts
@@ -82,7 +82,7 @@
   });
   const ageClock = new SuspensionClock(clock);
   const limits = new KnownLimits(ageClock);
-  const shareInput = { state, limits, sharers: () => limitPeers(ctx) };
+  const shareInput = { state, limits, limitPeers: () => limitPeers(ctx) };
   const gatewayCtx = createContext({
     settings: {
       // The feed never withdraws a document, and its keys need no freshness check.
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -41,9 +41,12 @@
   request: GatewayRequest,
   close: () => void,
 ): AttemptFault | undefined {
-  const { backoffMs: restMs } = head.asks;
-  if (head.isNotRun && restMs !== undefined)
-    return { kind: 'resting', detail: `endpoint answered ${head.status}, backoff of ${restMs} ms` };
+  const { backoffMs } = head.asks;
+  if (head.isNotRun && backoffMs !== undefined)
+    return {
+      kind: 'resting',
+      detail: `endpoint answered ${head.status}, backoff of ${backoffMs} ms`,
+    };
   if (head.isNotRun) return { kind: 'not-run', detail: `endpoint answered ${head.status}` };
   if (head.requestId !== undefined && head.requestId !== request.id) {
     close();
--- a/src/gateway/backpressure-signals.ts
+++ b/src/gateway/backpressure-signals.ts
@@ -37,10 +37,10 @@
   ctx.metrics.count('endpoint_asks_total', { service: service.id, what });
 }
 
-function recordBackoff(active: ActiveRequest, target: EndpointState, restMs: number): void {
+function recordBackoff(active: ActiveRequest, target: EndpointState, backoffMs: number): void {
   countSignal(active, 'rest');
-  active.ctx.endpoints.noteBackoff(target, restMs);
-  logSignal(active, target, 'endpoint.resting', { restMs });
+  active.ctx.endpoints.noteBackoff(target, backoffMs);
+  logSignal(active, target, 'endpoint.resting', { restMs: backoffMs });
 }
 
 /** An endpoint may announce that it is draining seconds before the published list does. */
@@ -78,9 +78,9 @@
 ): void {
   // 421: the address now belongs to another endpoint, whose headers must be ignored.
   if (head.status === STATUS_MISDIRECTED_REQUEST) return;
-  const { backoffMs: restMs, isLeaving, limitPerS } = head.asks;
+  const { backoffMs, isLeaving, limitPerS } = head.asks;
   recordUnreadable(active, target, head.asks);
-  if (restMs !== undefined) recordBackoff(active, target, restMs);
+  if (backoffMs !== undefined) recordBackoff(active, target, backoffMs);
   if (isLeaving) recordLeaving(active, target);
   if (limitPerS !== undefined) recordLimit(active, target, limitPerS);
   else recordLimitEnd(active, target, sentAtMs);
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -53,8 +53,8 @@
  * allows 448.
  * @example retryExtra(448, 137) // 3.27
  */
-export function retryExtra(extra: number, entriesKnown: number): number {
-  return Math.max(MIN_RETRY_EXTRA, extra / Math.max(ASSUMED_RETRY_PEERS, entriesKnown));
+export function retryExtra(extra: number, knownEntries: number): number {
+  return Math.max(MIN_RETRY_EXTRA, extra / Math.max(ASSUMED_RETRY_PEERS, knownEntries));
 }
 
 /**
--- a/src/gateway/limit-shares.ts
+++ b/src/gateway/limit-shares.ts
@@ -14,7 +14,7 @@
   /** Rate limits announced by endpoints. */
   readonly limits: KnownLimits;
   /** Returns the peers sharing the limits. */
-  readonly sharers: () => LimitPeers;
+  readonly limitPeers: () => LimitPeers;
 }
 
 /** Position of an endpoint among those of its service sorted by id, 0 to below 1. */
@@ -29,13 +29,17 @@
  * @example shareOf(deps, endpoint)?.perS
  */
 export function shareOf(
-  { state, limits, sharers }: LimitShareDeps,
+  { state, limits, limitPeers }: LimitShareDeps,
   endpoint: PublishedEndpoint,
 ): LimitShare | undefined {
   if (limits.isEmpty) return undefined;
   const limit = limits.of(endpoint);
   if (!limit) return undefined;
   const { limitPerS, releasedMs } = limit;
-  if (releasedMs !== undefined) return releasedShare(limitPerS, sharers(), releasedMs);
-  return limitShare({ limitPerS, peers: sharers(), ringPosition: ringPositionOf(state, endpoint) });
+  if (releasedMs !== undefined) return releasedShare(limitPerS, limitPeers(), releasedMs);
+  return limitShare({
+    limitPerS,
+    peers: limitPeers(),
+    ringPosition: ringPositionOf(state, endpoint),
+  });
 }
--- a/src/group/agent-process.ts
+++ b/src/group/agent-process.ts
@@ -99,13 +99,13 @@
   const agents = (): string[] => group.agents();
   const self = `${settings.ip}:${settings.internalPort}`;
   const layers = (): number => group.engineInfo()?.layers ?? 0;
-  /** Creates a gate in front of the engine at a host; all instances use the same ports. */
-  const createGate = (host: string, isLocal: boolean): SwitchParticipant => {
+  /** Creates the switch participant of the engine at a host; all instances use the same ports. */
+  const createParticipant = (host: string, isLocal: boolean): SwitchParticipant => {
     const calls = deps.connect(`http://${host}:${ownEndpoint.port}`, log, metrics);
     const engine = createSwitchEngine({ calls, clock, layers, pause: sleep, isLocal });
     return new SwitchParticipant(newIncarnation(clock.wallMs()), engine, () => 0);
   };
-  const gate = createGate(ownEndpoint.host, true);
+  const participant = createParticipant(ownEndpoint.host, true);
   const digest = new LatestDigest(ageClock);
   const activeEntries = new ActiveEntries();
   const election = new CoordinatorElection({
@@ -127,7 +127,7 @@
       applyDigest(order.digest);
       if (order.from !== undefined) election.recordPoll(order.from);
     }
-    const reply = await gate.serve(order);
+    const reply = await participant.serve(order);
     group.recordOwnReply(reply);
     if (order.kind !== 'look') return reply;
     const otherCoordinator = election.recentPollerExcept(order.from);
@@ -154,11 +154,11 @@
   };
 
   const directGates = new Map<string, SwitchParticipant>();
-  /** Returns the gate through which this process drives another agent's engine directly. */
+  /** Returns the participant through which this process drives another agent's engine directly. */
   const directGateFor = (address: string): SwitchParticipant => {
     const existing = directGates.get(address);
     if (existing) return existing;
-    const created = createGate(hostOf(address), false);
+    const created = createParticipant(hostOf(address), false);
     directGates.set(address, created);
     return created;
   };
--- a/src/group/switch-engine.ts
+++ b/src/group/switch-engine.ts
@@ -76,8 +76,8 @@
 }
 
 /**
- * Creates the engine of one rank, as used by its gate.
- * @example new RankGate(incarnation, createSwitchEngine(deps), () => 0)
+ * Creates the engine of one rank, as used by its `SwitchParticipant`.
+ * @example new SwitchParticipant(incarnation, createSwitchEngine(deps), () => 0)
  */
 export function createSwitchEngine(deps: SwitchEngineDeps): RankEngine {
   const { calls, clock } = deps;
--- a/test/gateway/backpressure-signals.test.ts
+++ b/test/gateway/backpressure-signals.test.ts
@@ -55,11 +55,11 @@
   );
   const listed = endpoints.map(({ address }, i) => endpoint(`e-${i}`, address));
   const gateways: TestGateway[] = [];
-  const tellLeaving = (process: EndpointProcess): void => {
+  const broadcastLeaving = (process: EndpointProcess): void => {
     for (const { ctx } of gateways) applyLeaving(ctx, { from: 'other', leaving: [process] });
   };
   for (let i = 0; i < size.entries; i += 1)
-    gateways.push(await startGateway(config([route()]), listed, { broadcastLeaving: tellLeaving }));
+    gateways.push(await startGateway(config([route()]), listed, { broadcastLeaving }));
   const confirmTimer = setInterval(() => {
     for (const { state, ctx } of gateways) state.confirmConfig(ctx.ageClock.nowMs());
   }, CONFIRM_INTERVAL_MS);
--- a/test/gateway/harness.ts
+++ b/test/gateway/harness.ts
@@ -169,7 +169,7 @@
   const ageClock = new SuspensionClock(clock);
   const limits = new KnownLimits(ageClock);
   const sharingPeers = (): LimitPeers => ({ index: undefined, count: ASSUMED_PEERS });
-  const shareDeps = { state, limits, sharers: sharingPeers };
+  const shareDeps = { state, limits, limitPeers: sharingPeers };
   const ctx = createContext({
     settings,
     retryShare: () => 0.2,
--- a/test/gateway/stream.test.ts
+++ b/test/gateway/stream.test.ts
@@ -217,11 +217,11 @@
     ),
   );
   const listed = [endpoint('e-0', slow.address), endpoint('e-1', backingOff.address)];
-  const sightOf = (e: PublishedEndpoint): EngineStatus => ({
+  const statusOf = (e: PublishedEndpoint): EngineStatus => ({
     load: 0,
     pace: e.id === 'e-0' ? pace : 1,
   });
-  const testGateway = await startGateway(config([STREAM_ROUTE]), listed, { statusOf: sightOf });
+  const testGateway = await startGateway(config([STREAM_ROUTE]), listed, { statusOf });
   try {
     while (backingOff.requests.length === 0) await testGateway.send(`q-${slow.requests.length}`);
     const response = testGateway.send('q-slow');
--- a/test/platform/boot-file.test.ts
+++ b/test/platform/boot-file.test.ts
@@ -25,9 +25,9 @@
 });
 
 test('keys are accepted without a time limit only if fail-closed is false', () => {
-  const keyProofMs = (text: string): number => decode(text).unwrap().gateway.keyFreshnessMs;
-  assert.equal(keyProofMs(bootText({ 'fail-closed': 'false' })), Number.POSITIVE_INFINITY);
-  assert.equal(keyProofMs(bootText().replace(/^fail-closed.*$/m, '')), 5000);
+  const keyFreshnessMs = (text: string): number => decode(text).unwrap().gateway.keyFreshnessMs;
+  assert.equal(keyFreshnessMs(bootText({ 'fail-closed': 'false' })), Number.POSITIVE_INFINITY);
+  assert.equal(keyFreshnessMs(bootText().replace(/^fail-closed.*$/m, '')), 5000);
 });
 
 const INVALID_FILES: readonly (readonly [string, string, RegExp])[] = [
--- a/test/platform/store-client.test.ts
+++ b/test/platform/store-client.test.ts
@@ -259,10 +259,10 @@
   ['half', 'reset'],
 ];
 
-for (const [mood, kind] of STORE_FAULTS) {
-  test(`a store that is ${mood} causes an error of kind ${kind}, and later reads succeed`, async () => {
+for (const [mode, kind] of STORE_FAULTS) {
+  test(`a store that is ${mode} causes an error of kind ${kind}, and later reads succeed`, async () => {
     await withStore(async (store, source) => {
-      store.mode = mood;
+      store.mode = mode;
       const read = await source.readAll();
       assert.ok(read.err);
       assert.equal((read.val as ReadFault).kind, kind);
--- a/test/soak/backpressure.test.ts
+++ b/test/soak/backpressure.test.ts
@@ -1,7 +1,7 @@
 /**
  * Guards against entries that ignore backpressure signals (Retry-After, leaving, rate limits) while
  * entries are killed, suspended and cut off. When entries ignored them, four of four seeds failed: 67
- * backoffs violated, 436 requests sent to leaving endpoints, 4 rate limits exceeded. See asks.test
+ * backoffs violated, 436 requests sent to leaving endpoints, 4 rate limits exceeded. See backpressure-signals.test
  * for the cause.
  */
 import assert from 'node:assert/strict';
